--- a/bench/control_bench.cpp
+++ b/bench/control_bench.cpp
@@ -56,7 +56,7 @@
               register_instance{{.id = {id},
                                  .domain = {domain_name(i)},
                                  .address = "10.20.30.40:7432",
-                                 .takes_callers = true}});
+                                 .accepts_clients = true}});
     }
     for (int g = 0; g < size.groups; ++g) {
         const std::string group = "database-" + std::to_string(g);
@@ -73,7 +73,7 @@
         record.term = 1;
         record.primary = {group + "-server-0"};
         record.timeline = 1;
-        record.starts = {{.term = 1, .position = 0}};
+        record.term_starts = {{.term = 1, .position = 0}};
         apply(s, ++revision, set_group{.next = record});
     }
     edit_table edit;
@@ -107,7 +107,7 @@
     renewal r;
     r.instance = s.instances.at({"instance-" + std::to_string(daemon)});
     r.incarnation = 1;
-    r.applied = s.revision;
+    r.applied_revision = s.revision;
     const int groups = static_cast<int>(s.groups.size());
     for (int i = 0; i < observed; ++i) {
         const std::string server = "database-" + std::to_string((daemon + i) % groups) + "-server-" +
@@ -189,7 +189,7 @@
     constexpr int rounds = 20;
     std::mt19937_64 random(1);
     cluster_state s = make_state(size);
-    for (service_entry& service : s.current.services) {
+    for (service_entry& service : s.current_table.services) {
         service.max_connections = connections;
     }
     control_core c = make_leader(s, random);
@@ -290,7 +290,7 @@
         const double heap = heap_kilobytes() - before;
         edit_table edit;
         edit.change_id = "0123456789abcdef";
-        edit.next = s.current;
+        edit.next = s.current_table;
         edit.expected_revision = s.table_revision;
         const set_group failover{.expected_term = 1, .next = s.groups.begin()->second};
         const std::string edit_bytes = encode_command(edit);
@@ -316,7 +316,7 @@
                 return;
             }
             edit_table edit;
-            edit.next = s.current;
+            edit.next = s.current_table;
             const time_point began = now();
             for (std::uint64_t i = 1; i <= 1400; ++i) {
                 edit.change_id = "change-" + std::to_string(i);
@@ -351,7 +351,7 @@
                             .position = static_cast<log_position>(i)});
     }
     g.record = {
-        .id = {"g"}, .term = 1, .primary = {"s0"}, .timeline = 1, .starts = {{.term = 1, .position = 0}}};
+        .id = {"g"}, .term = 1, .primary = {"s0"}, .timeline = 1, .term_starts = {{.term = 1, .position = 0}}};
     g.positions = &positions;
     for (const char* id : {"s0", "s1", "s2"}) {
         g.servers.push_back({.id = {id}});
--- a/bench/model/loaded_group.cpp
+++ b/bench/model/loaded_group.cpp
@@ -183,7 +183,7 @@
                                              time_point asked_at) {
         group_view view;
         view.record = {
-            .id = {"g"}, .term = 1, .primary = {server_name(0)}, .timeline = timeline, .starts = {}};
+            .id = {"g"}, .term = 1, .primary = {server_name(0)}, .timeline = timeline, .term_starts = {}};
         view.positions = &entries_[e].positions;
         view.servers_enforce_floor = true;
         for (std::size_t s = 0; s < servers_.size(); ++s) {
--- a/src/core/admission.cpp
+++ b/src/core/admission.cpp
@@ -4,7 +4,7 @@
 
 admission admit(const table& t, const route_entry& route, const std::string& key_digest,
                 bool table_is_newest) {
-    if (!t.needs_key) {
+    if (!t.requires_key) {
         return {.verdict = admission_verdict::admitted, .workspace = {}};
     }
     if (const workspace_key* key = find_key(t, key_digest)) {
--- a/src/core/announcements.cpp
+++ b/src/core/announcements.cpp
@@ -14,7 +14,7 @@
 
 // A look at every server and every daemon; servers are forgotten after 12 s, so half a second more is
 // nothing.
-constexpr duration lost_look_interval = std::chrono::milliseconds{500};
+constexpr duration lost_check_interval = std::chrono::milliseconds{500};
 
 //-----------------------------------------------------------------------------
 // [records]
@@ -32,14 +32,14 @@
     }
     c.proposed_servers[record.id] = record;
     actions.emplace_back(propose_command{register_server{record}});
-    const bool known_to_leave = known != s.servers.end() && known->second.leaving;
-    if (record.leaving && !known_to_leave) {
-        actions.emplace_back(note_event{.what = "server_leaves", .group = record.group, .server = record.id});
+    const bool already_leaving = known != s.servers.end() && known->second.leaving;
+    if (record.leaving && !already_leaving) {
+        actions.emplace_back(report_event{.event = "server_leaves", .group = record.group, .server = record.id});
     }
 }
 
 std::uint64_t next_start_number(control_state& c) {
-    return number_across_leaders(c, ++c.starts_numbered);
+    return make_monotonic_number(c, ++c.start_number_count);
 }
 
 // What control has last proposed of a server, or else agreed on.
@@ -55,11 +55,11 @@
 // The record that an announcement asks for. A server that leaves was promised that nothing reaches it, so
 // neither a later word of it, nor silence, nor another leader takes its leaving back. Nothing of it holds for
 // a new start.
-server_record wanted_record(control_state& c, const cluster_state& s, const server_announcement& a,
+server_record make_server_record(control_state& c, const cluster_state& s, const server_announcement& a,
                             bool is_new_start) {
     server_record record = a.record;
     const server_record* known = is_new_start ? nullptr : newest_record(c, s, record.id);
-    record.leaving = a.leaving || a.gone || (known != nullptr && known->leaving);
+    record.leaving = a.leaving || a.stopped || (known != nullptr && known->leaving);
     record.start_number = known != nullptr ? known->start_number : next_start_number(c);
     if (record.slots == 0 && known != nullptr) {
         record.slots = known->slots; // what this start told once goes on to hold
@@ -71,23 +71,23 @@
 // [founding]
 //-----------------------------------------------------------------------------
 
-bool is_being_founded(const control_state& c, const group_id& group) {
-    return std::any_of(c.founding.begin(), c.founding.end(),
+bool is_group_creation_pending(const control_state& c, const group_id& group) {
+    return std::any_of(c.pending_group_creations.begin(), c.pending_group_creations.end(),
                        [&group](const auto& f) { return f.second.record.group == group; });
 }
 
 // The first primary that announces itself founds the group. Later ones never change a record. One that does
 // not tell its timeline is asked for it first.
-void found_group(control_state& c, const cluster_state& s, const server_announcement& a,
+void create_group(control_state& c, const cluster_state& s, const server_announcement& a,
                  control_actions& actions) {
     const group_id& group = a.record.group;
     if (!a.is_primary || s.groups.contains(group) || c.proposed_groups.contains(group)) {
         return;
     }
     if (a.timeline == 0) {
-        if (!is_being_founded(c, group)) {
+        if (!is_group_creation_pending(c, group)) {
             const std::uint64_t operation = c.next_operation++;
-            c.founding[operation] = a;
+            c.pending_group_creations[operation] = a;
             actions.emplace_back(probe_server{.operation = operation, .server = a.record});
         }
         return;
@@ -96,10 +96,10 @@
     record.id = group;
     record.term = 1;
     record.primary = a.record.id;
-    const server_record* founder = newest_record(c, s, a.record.id);
-    record.primary_start = founder == nullptr ? 0 : founder->start_number;
+    const server_record* primary = newest_record(c, s, a.record.id);
+    record.primary_start_number = primary == nullptr ? 0 : primary->start_number;
     record.timeline = a.timeline;
-    record.starts = {term_start{.term = 1, .position = 0}};
+    record.term_starts = {term_start{.term = 1, .position = 0}};
     c.proposed_groups.insert(group);
     actions.emplace_back(propose_command{
         set_group{.expected_term = 0, .expected_phase = group_phase::serving, .next = record}});
@@ -117,18 +117,18 @@
                  time_point now) {
     const server_id& id = a.record.id;
     server_id& holder = c.address_holders[a.record.host + ":" + std::to_string(a.record.port)];
-    const auto heard = c.announced.find(holder);
-    const bool holder_lives =
-        heard != c.announced.end() && now - heard->second.at <= c.config.announcement_age;
-    const bool known = c.announced.contains(id) || s.servers.contains(id) || c.replaced.contains(id);
-    if (holder != id && (is_later_start || !(known && holder_lives))) {
+    const auto latest = c.latest_announcements.find(holder);
+    const bool holder_is_alive =
+        latest != c.latest_announcements.end() && now - latest->second.received_at <= c.config.max_announcement_age;
+    const bool known = c.latest_announcements.contains(id) || s.servers.contains(id) || c.replaced_servers.contains(id);
+    if (holder != id && (is_later_start || !(known && holder_is_alive))) {
         if (!holder.value.empty()) {
-            c.replaced.insert(holder);
+            c.replaced_servers.insert(holder);
         }
-        c.replaced.erase(id);
+        c.replaced_servers.erase(id);
         holder = id;
     }
-    return holder != id && c.replaced.contains(id);
+    return holder != id && c.replaced_servers.contains(id);
 }
 
 //-----------------------------------------------------------------------------
@@ -136,64 +136,64 @@
 //-----------------------------------------------------------------------------
 
 // How far the newest start that is known of a server has come.
-struct start_mark {
-    std::uint64_t started = 0;
+struct announcement_stamp {
+    std::uint64_t start_time_ms = 0;
     std::uint64_t sequence = 0;
 };
 
-std::optional<start_mark> newest_start(const control_state& c, const cluster_state& s, const server_id& id) {
-    const auto heard = c.announced.find(id);
-    if (heard != c.announced.end()) {
-        return start_mark{.started = heard->second.last.record.started,
-                          .sequence = heard->second.last.sequence};
+std::optional<announcement_stamp> newest_stamp(const control_state& c, const cluster_state& s, const server_id& id) {
+    const auto latest = c.latest_announcements.find(id);
+    if (latest != c.latest_announcements.end()) {
+        return announcement_stamp{.start_time_ms = latest->second.announcement.record.start_time_ms,
+                          .sequence = latest->second.announcement.sequence};
     }
-    const auto gone = c.said_goodbye.find(id);
-    if (gone != c.said_goodbye.end()) {
-        return start_mark{.started = gone->second, .sequence = std::numeric_limits<std::uint64_t>::max()};
+    const auto stopped = c.stopped_starts.find(id);
+    if (stopped != c.stopped_starts.end()) {
+        return announcement_stamp{.start_time_ms = stopped->second, .sequence = std::numeric_limits<std::uint64_t>::max()};
     }
     const server_record* known = newest_record(c, s, id);
-    return known == nullptr ? std::nullopt : std::optional{start_mark{.started = known->started}};
+    return known == nullptr ? std::nullopt : std::optional{announcement_stamp{.start_time_ms = known->start_time_ms}};
 }
 
 // What looks overtaken was held up on its way, and ends; or a clock was set back while its server was down,
 // two starts fell into one millisecond, or the server tells no start. Then it goes on, rising, while nothing
 // is heard of the start that is taken for the later one.
-bool goes_on(control_state& c, const server_announcement& a, time_point now) {
-    doubted_start& d = c.doubted[a.record.id];
-    const bool same = d.started == a.record.started && a.sequence >= d.sequence &&
-                      now - d.last_at <= c.config.announcement_age;
+bool confirms_new_start(control_state& c, const server_announcement& a, time_point now) {
+    unverified_start& d = c.unverified_starts[a.record.id];
+    const bool same = d.start_time_ms == a.record.start_time_ms && a.sequence >= d.sequence &&
+                      now - d.last_received_at <= c.config.max_announcement_age;
     if (!same) {
-        d = {.started = a.record.started, .sequence = a.sequence, .first_at = now, .last_at = now};
+        d = {.start_time_ms = a.record.start_time_ms, .sequence = a.sequence, .first_received_at = now, .last_received_at = now};
         return false;
     }
-    const bool rises = a.sequence > d.sequence;
+    const bool increased = a.sequence > d.sequence;
     d.sequence = a.sequence;
-    d.last_at = now;
-    const auto heard = c.announced.find(a.record.id);
+    d.last_received_at = now;
+    const auto latest = c.latest_announcements.find(a.record.id);
     const bool other_is_silent =
-        heard == c.announced.end() || now - heard->second.at > c.config.announcement_age;
-    return rises && other_is_silent && now - d.first_at >= c.config.announcement_age;
+        latest == c.latest_announcements.end() || now - latest->second.received_at > c.config.max_announcement_age;
+    return increased && other_is_silent && now - d.first_received_at >= c.config.max_announcement_age;
 }
 
-enum class announcement_order : std::uint8_t { overtaken, same_start, new_start };
+enum class announcement_order : std::uint8_t { outdated, same_start, new_start };
 
 // A later start goes before any count, within one start the count decides. One that does not tell its start
 // is taken for the known one.
-announcement_order order_of(control_state& c, const cluster_state& s, const server_announcement& a,
+announcement_order compare_to_newest(control_state& c, const cluster_state& s, const server_announcement& a,
                             time_point now) {
-    const auto newest = newest_start(c, s, a.record.id);
+    const auto newest = newest_stamp(c, s, a.record.id);
     if (!newest) {
         return announcement_order::new_start;
     }
-    const std::uint64_t started = a.record.started;
-    if (newest->started != 0 && started > newest->started) {
+    const std::uint64_t start_time_ms = a.record.start_time_ms;
+    if (newest->start_time_ms != 0 && start_time_ms > newest->start_time_ms) {
         return announcement_order::new_start;
     }
-    const bool same = started == newest->started || newest->started == 0;
+    const bool same = start_time_ms == newest->start_time_ms || newest->start_time_ms == 0;
     if (same && a.sequence >= newest->sequence) {
         return announcement_order::same_start;
     }
-    return goes_on(c, a, now) ? announcement_order::new_start : announcement_order::overtaken;
+    return confirms_new_start(c, a, now) ? announcement_order::new_start : announcement_order::outdated;
 }
 
 log_position highest_seen_position(const control_state& c, const server_id& server) {
@@ -207,12 +207,12 @@
 
 // Nothing that was known of an earlier start is believed of this one. As its group's primary it may hold
 // nothing, whatever it says of itself: whoever has the longest log goes on.
-void take_new_start(control_state& c, const cluster_state& s, const server_announcement& a, time_point now,
+void handle_new_start(control_state& c, const cluster_state& s, const server_announcement& a, time_point now,
                     control_actions& actions) {
     const server_id& id = a.record.id;
-    const log_position held = highest_seen_position(c, id);
-    c.doubted.erase(id);
-    c.said_goodbye.erase(id);
+    const log_position position_before = highest_seen_position(c, id);
+    c.unverified_starts.erase(id);
+    c.stopped_starts.erase(id);
     c.proposed_removals.erase(id);
     for (auto& [daemon, d] : c.daemons) {
         d.observations.erase(id);
@@ -221,10 +221,10 @@
     if (known == s.servers.end()) {
         return;
     }
-    actions.emplace_back(note_event{.what = "server_started_again", .group = a.record.group, .server = id});
+    actions.emplace_back(report_event{.event = "server_started_again", .group = a.record.group, .server = id});
     const auto group = s.groups.find(known->second.group);
     if (group != s.groups.end()) {
-        take_restart(c, s, group->second, id, held, now, actions);
+        take_restart(c, s, group->second, id, position_before, now, actions);
     }
 }
 
@@ -234,11 +234,11 @@
 // [public functions]
 //-----------------------------------------------------------------------------
 
-void take_announcement(control_state& c, const cluster_state& s, const server_announcement& a, time_point now,
+void handle_announcement(control_state& c, const cluster_state& s, const server_announcement& a, time_point now,
                        control_actions& actions) {
     const server_id& id = a.record.id;
-    const announcement_order order = order_of(c, s, a, now);
-    if (order == announcement_order::overtaken) {
+    const announcement_order order = compare_to_newest(c, s, a, now);
+    if (order == announcement_order::outdated) {
         return;
     }
     const bool is_new_start = order == announcement_order::new_start;
@@ -246,41 +246,41 @@
     if (!is_new_start && known != nullptr && known->group != a.record.group) {
         return; // another writer's: a server keeps its group
     }
-    if (is_replaced(c, s, a, is_new_start && newest_start(c, s, id).has_value(), now)) {
+    if (is_replaced(c, s, a, is_new_start && newest_stamp(c, s, id).has_value(), now)) {
         return;
     }
     if (is_new_start) {
-        take_new_start(c, s, a, now, actions);
+        handle_new_start(c, s, a, now, actions);
     }
-    c.announced[id] = seen_server{.last = a, .at = now};
-    if (a.gone) {
-        c.said_goodbye[id] = a.record.started; // on_tick() lets go of its record
+    c.latest_announcements[id] = received_announcement{.announcement = a, .received_at = now};
+    if (a.stopped) {
+        c.stopped_starts[id] = a.record.start_time_ms; // on_tick() lets go of its record
         if (!s.servers.contains(id)) {
             return;
         }
     }
-    register_if_new(c, s, wanted_record(c, s, a, is_new_start), actions);
-    if (!a.gone) {
-        found_group(c, s, a, actions);
+    register_if_new(c, s, make_server_record(c, s, a, is_new_start), actions);
+    if (!a.stopped) {
+        create_group(c, s, a, actions);
     }
 }
 
-void finish_founding(control_state& c, const cluster_state& s, const server_answer& answer,
+void finish_group_creation(control_state& c, const cluster_state& s, const server_answer& answer,
                      control_actions& actions) {
-    server_announcement founder = c.founding.at(answer.operation);
-    c.founding.erase(answer.operation);
+    server_announcement announcement = c.pending_group_creations.at(answer.operation);
+    c.pending_group_creations.erase(answer.operation);
     if (!answer.answered || !answer.is_primary) {
         return; // its next announcement tries again
     }
-    founder.timeline = answer.timeline;
-    found_group(c, s, founder, actions);
+    announcement.timeline = answer.timeline;
+    create_group(c, s, announcement, actions);
 }
 
-void remove_if_gone(control_state& c, const cluster_state& s, const server_announcement& a,
+void remove_if_stopped(control_state& c, const cluster_state& s, const server_announcement& a,
                     control_actions& actions) {
     const auto group = s.groups.find(a.record.group);
-    const bool needed = group != s.groups.end() && group->second.primary == a.record.id;
-    if (!a.gone || needed || !s.servers.contains(a.record.id)) {
+    const bool is_primary = group != s.groups.end() && group->second.primary == a.record.id;
+    if (!a.stopped || is_primary || !s.servers.contains(a.record.id)) {
         return;
     }
     if (c.proposed_removals.insert(a.record.id).second) {
@@ -288,23 +288,23 @@
     }
 }
 
-void forget_lost_servers(control_state& c, const cluster_state& s, time_point now, control_actions& actions) {
-    if (now - c.looked_for_lost_at < lost_look_interval) {
+void remove_lost_servers(control_state& c, const cluster_state& s, time_point now, control_actions& actions) {
+    if (now - c.lost_servers_checked_at < lost_check_interval) {
         return;
     }
-    c.looked_for_lost_at = now;
-    const bool hears = std::any_of(c.announced.begin(), c.announced.end(), [&](const auto& a) {
-        return now - a.second.at <= c.config.announcement_age;
+    c.lost_servers_checked_at = now;
+    const bool any_recent = std::any_of(c.latest_announcements.begin(), c.latest_announcements.end(), [&](const auto& a) {
+        return now - a.second.at <= c.config.max_announcement_age;
     });
-    if (!hears || now - c.leading_since < c.config.forget_after) {
+    if (!any_recent || now - c.leading_since < c.config.lost_server_timeout) {
         return;
     }
     for (const auto& [id, server] : s.servers) {
-        const auto heard = c.announced.find(id);
-        const bool silent = heard == c.announced.end() || now - heard->second.at >= c.config.forget_after;
+        const auto latest = c.latest_announcements.find(id);
+        const bool silent = latest == c.latest_announcements.end() || now - latest->second.received_at >= c.config.lost_server_timeout;
         const auto group = s.groups.find(server.group);
-        const bool needed = group != s.groups.end() && group->second.primary == id;
-        if (silent && !needed && !looks_alive(c, id, now) && c.proposed_removals.insert(id).second) {
+        const bool is_primary = group != s.groups.end() && group->second.primary == id;
+        if (silent && !is_primary && !looks_alive(c, id, now) && c.proposed_removals.insert(id).second) {
             actions.emplace_back(propose_command{remove_server{id}});
         }
     }
--- a/src/core/announcements.hpp
+++ b/src/core/announcements.hpp
@@ -12,19 +12,19 @@
 namespace larchpin {
 
 // An announcement has come with a daemon's renewal; the same one may come several times, by several daemons.
-void take_announcement(control_state& c, const cluster_state& s, const server_announcement& a, time_point now,
+void handle_announcement(control_state& c, const cluster_state& s, const server_announcement& a, time_point now,
                        control_actions& actions);
 
 // The server that is to found a group has answered with its timeline.
-void finish_founding(control_state& c, const cluster_state& s, const server_answer& answer,
+void finish_group_creation(control_state& c, const cluster_state& s, const server_answer& answer,
                      control_actions& actions);
 
 // A server that has ended loses its record, unless a group still needs another primary in its place.
-void remove_if_gone(control_state& c, const cluster_state& s, const server_announcement& a,
+void remove_if_stopped(control_state& c, const cluster_state& s, const server_announcement& a,
                     control_actions& actions);
 
 // So does one that neither announces itself nor answers any more, while others announce themselves: it is
 // gone without a word. Should it come back, it announces itself.
-void forget_lost_servers(control_state& c, const cluster_state& s, time_point now, control_actions& actions);
+void remove_lost_servers(control_state& c, const cluster_state& s, time_point now, control_actions& actions);
 
 } // namespace larchpin
--- a/src/core/cluster_state.cpp
+++ b/src/core/cluster_state.cpp
@@ -15,10 +15,10 @@
 constexpr unsigned max_route_attempts = 10;
 constexpr unsigned max_rate = 1'000'000;
 
-void remember(cluster_state& s, const std::string& change_id, const change_outcome& outcome) {
-    s.changes.push_back(remembered_change{.change_id = change_id, .outcome = outcome});
-    if (s.changes.size() > max_remembered_changes) {
-        s.changes.pop_front();
+void record_change(cluster_state& s, const std::string& change_id, const change_outcome& outcome) {
+    s.recorded_changes.push_back(recorded_change{.change_id = change_id, .outcome = outcome});
+    if (s.recorded_changes.size() > max_recorded_changes) {
+        s.recorded_changes.pop_front();
     }
 }
 
@@ -28,7 +28,7 @@
     if (!check_table(edit.next).empty()) {
         outcome.code = result_code::table_invalid;
     } else if (edit.version > s.table_version) {
-        s.current = edit.next;
+        s.current_table = edit.next;
         s.document = edit.document;
         s.table_version = edit.version;
         s.table_revision = index;
@@ -50,12 +50,12 @@
     } else if (!check_table(edit.next).empty()) {
         outcome.code = result_code::table_invalid;
     } else {
-        s.current = edit.next;
+        s.current_table = edit.next;
         s.document.clear(); // it no longer says what is in force
         s.table_revision = index;
         outcome.table_revision = index;
     }
-    remember(s, edit.change_id, outcome);
+    record_change(s, edit.change_id, outcome);
     return outcome;
 }
 
@@ -73,7 +73,7 @@
         return result_code::revision_conflict;
     }
     found->second = change.next;
-    auto& starts = found->second.starts;
+    auto& starts = found->second.term_starts;
     while (starts.size() > max_term_starts) {
         starts.erase(starts.begin());
     }
@@ -115,7 +115,7 @@
     if (r.max_staleness < duration{0} || r.max_staleness > max_deadline) {
         return name + ": max_staleness_ms must be 0 to 3600000";
     }
-    if (r.objective < duration{0} || r.objective > max_deadline) {
+    if (r.latency_objective < duration{0} || r.latency_objective > max_deadline) {
         return name + ": objective_ms must be 0 to 3600000";
     }
     if (r.max_attempts < 1 || r.max_attempts > max_route_attempts) {
@@ -164,16 +164,16 @@
         s.instances_revision = index;
     } else if (const auto* group = std::get_if<set_group>(&c)) {
         outcome.code = apply_group(s, *group);
-    } else if (const auto* gone = std::get_if<remove_server>(&c)) {
-        outcome.code = apply_removal(s, gone->id);
+    } else if (const auto* removal = std::get_if<remove_server>(&c)) {
+        outcome.code = apply_removal(s, removal->id);
     }
     return outcome;
 }
 
 std::optional<change_outcome> find_change(const cluster_state& s, const std::string& change_id) {
-    const auto found = std::find_if(s.changes.begin(), s.changes.end(),
+    const auto found = std::find_if(s.recorded_changes.begin(), s.recorded_changes.end(),
                                     [&change_id](const auto& c) { return c.change_id == change_id; });
-    if (found == s.changes.end()) {
+    if (found == s.recorded_changes.end()) {
         return std::nullopt;
     }
     return found->outcome;
@@ -194,7 +194,7 @@
     if (!sorted_unique(t.keys, [](const workspace_key& k) { return k.digest; })) {
         return "one key stands twice";
     }
-    if (t.transaction_idle < duration{0} || t.transaction_idle > max_deadline) {
+    if (t.transaction_idle_timeout < duration{0} || t.transaction_idle_timeout > max_deadline) {
         return "transaction_idle_ms must be 0 to 3600000";
     }
     for (const service_entry& s : t.services) {
@@ -267,8 +267,8 @@
 
 bool has_primary_restarted(const cluster_state& s, const group_record& group) {
     const auto primary = s.servers.find(group.primary);
-    return group.primary_start != 0 && primary != s.servers.end() &&
-           primary->second.start_number != group.primary_start;
+    return group.primary_start_number != 0 && primary != s.servers.end() &&
+           primary->second.start_number != group.primary_start_number;
 }
 
 std::vector<server_record> servers_of(const cluster_state& s, const group_id& group) {
@@ -285,11 +285,11 @@
     if (term == group.term) {
         return std::numeric_limits<log_position>::max();
     }
-    if (term > group.term || group.starts.empty() || term + 1 < group.starts.front().term) {
+    if (term > group.term || group.term_starts.empty() || term + 1 < group.term_starts.front().term) {
         return std::nullopt;
     }
     log_position lowest = std::numeric_limits<log_position>::max();
-    for (const term_start& start : group.starts) {
+    for (const term_start& start : group.term_starts) {
         if (start.term > term) {
             lowest = std::min(lowest, start.position);
         }
--- a/src/core/cluster_state.hpp
+++ b/src/core/cluster_state.hpp
@@ -68,7 +68,7 @@
     read_consistency consistency = read_consistency::session;
     duration max_staleness{0};                            // for `bounded` and `own_writes`, 0..1 h
     duration statement_timeout = std::chrono::seconds{5}; // for one statement, 1 ms..1 h
-    duration objective{0};                                // latency aimed at for a whole operation; 0: none
+    duration latency_objective{0};                                // latency aimed at for a whole operation; 0: none
     unsigned priority = 2;                                // 0 goes first, then 1, 2; 3 and more last
     unsigned max_attempts = 3;                            // servers tried for one statement, 1..10
     bool is_public = false;                               // its sessions need no key
@@ -86,8 +86,8 @@
     std::vector<service_entry> services;     // sorted by id, unique
     std::vector<server_entry> servers;       // sorted by id, unique; servers without an entry get defaults
     std::vector<route_entry> routes;         // sorted by database, unique
-    duration transaction_idle{0};            // a transaction idle for longer is rolled back; 0: never
-    bool needs_key = false;                  // sessions are opened by the key of a workspace
+    duration transaction_idle_timeout{0};            // a transaction idle for longer is rolled back; 0: never
+    bool requires_key = false;                  // sessions are opened by the key of a workspace
     std::vector<workspace_entry> workspaces; // sorted by id, unique
     std::vector<workspace_key> keys;         // sorted by digest, unique: no key opens two workspaces
     bool operator==(const table&) const = default;
@@ -106,7 +106,7 @@
     std::uint16_t port = 0;
     failure_domain domain;
     bool leaving = false;           // this start: agreed before it is acknowledged, and never taken back
-    std::uint64_t started = 0;      // Unix milliseconds by the server's own clock; 0: it does not tell
+    std::uint64_t start_time_ms = 0;      // Unix milliseconds by the server's own clock; 0: it does not tell
     std::uint64_t start_number = 0; // by control: another one for every start that it tells apart
     unsigned slots =
         0; // statements that it runs at once, as this start told, 1..max_server_slots; 0: not told
@@ -120,7 +120,7 @@
     instance_id id;
     failure_domain domain;
     std::string address;        // "ip:port" of the peer listener
-    bool takes_callers = false; // has sessions, and so uses connections
+    bool accepts_clients = false; // has sessions, and so uses connections
     auto operator<=>(const instance_record&) const = default;
 };
 
@@ -140,15 +140,15 @@
     group_id id;
     term_number term = 0;
     server_id primary;
-    std::uint64_t primary_start = 0; // the start of it that was made the primary; 0: not known
+    std::uint64_t primary_start_number = 0; // the start of it that was made the primary; 0: not known
     group_phase phase = group_phase::serving;
     std::uint64_t timeline = 0;     // the primary's own count of promotions
-    std::vector<term_start> starts; // oldest first, the last max_term_starts
+    std::vector<term_start> term_starts; // oldest first, the last max_term_starts
     auto operator<=>(const group_record&) const = default;
 };
 
 constexpr std::size_t max_term_starts = 16;
-constexpr std::size_t max_remembered_changes = 4096;
+constexpr std::size_t max_recorded_changes = 4096;
 
 struct change_outcome {
     result_code code = result_code::ok;
@@ -157,23 +157,23 @@
     auto operator<=>(const change_outcome&) const = default;
 };
 
-struct remembered_change {
+struct recorded_change {
     std::string change_id;
     change_outcome outcome;
-    auto operator<=>(const remembered_change&) const = default;
+    auto operator<=>(const recorded_change&) const = default;
 };
 
 struct cluster_state {
     revision_number revision = 0;       // index of the last command applied
     revision_number table_revision = 0; // index of the last table edit that was taken
-    table current;
+    table current_table;
     std::uint64_t table_version = 0; // the operators' own number of it; 0: edited by revision
     std::string document;            // what the operator sent, for reading back; empty: nothing
     std::map<group_id, group_record> groups;
     std::map<server_id, server_record> servers;
     std::map<instance_id, instance_record> instances;
     revision_number instances_revision = 0; // index at which an instance's record last changed
-    std::deque<remembered_change> changes;  // oldest first, bounded
+    std::deque<recorded_change> recorded_changes;  // oldest first, bounded
     bool operator==(const cluster_state&) const = default;
 };
 
--- a/src/core/control.cpp
+++ b/src/core/control.cpp
@@ -22,31 +22,31 @@
 // [leases]
 //-----------------------------------------------------------------------------
 
-void note_granted(daemon_state& d, revision_number revision, time_point until) {
+void record_lease(daemon_state& d, revision_number revision, time_point expires_at) {
     if (!d.leases.empty() && d.leases.back().revision == revision) {
-        d.leases.back().until = std::max(d.leases.back().until, until);
+        d.leases.back().expires_at = std::max(d.leases.back().expires_at, expires_at);
     } else {
-        d.leases.push_back({.revision = revision, .until = until});
+        d.leases.push_back({.revision = revision, .expires_at = expires_at});
     }
 }
 
-void forget_old_leases(daemon_state& d, time_point now) {
-    while (d.leases.size() > 1 && d.leases.front().until <= now) { // the last one tells when it ended
+void remove_expired_leases(daemon_state& d, time_point now) {
+    while (d.leases.size() > 1 && d.leases.front().expires_at <= now) { // the last one tells when it ended
         d.leases.pop_front();
     }
 }
 
-bool outlived_earlier_leases(const control_state& c, time_point now) {
+bool earlier_leases_expired(const control_state& c, time_point now) {
     return now - c.leading_since >= grantor_length(c.config.lease);
 }
 
 // A grant of an older revision may still be acted upon until it runs out, unless the daemon has confirmed.
-bool may_act_on_older(const daemon_state& d, revision_number revision, time_point now) {
-    if (d.confirmed >= revision) {
+bool may_use_older_revision(const daemon_state& d, revision_number revision, time_point now) {
+    if (d.confirmed_revision >= revision) {
         return false;
     }
     return std::any_of(d.leases.begin(), d.leases.end(), [revision, now](const granted_lease& g) {
-        return g.revision < revision && g.until > now;
+        return g.revision < revision && g.expires_at > now;
     });
 }
 
@@ -55,45 +55,45 @@
 //-----------------------------------------------------------------------------
 
 // Neither a lease of it counts any more, nor has it renewed lately. A stopping one gives its lease back.
-bool is_out_of_touch(const control_state& c, const instance_id& id, time_point now) {
+bool is_lost(const control_state& c, const instance_id& id, time_point now) {
     const auto d = c.daemons.find(id);
     if (d == c.daemons.end()) {
         return true; // asked for once all earlier leases have run out
     }
-    return !has_live_lease(d->second, now) && now - d->second.seen_at >= grantor_length(c.config.lease);
+    return !has_live_lease(d->second, now) && now - d->second.last_renewal_at >= grantor_length(c.config.lease);
 }
 
 // A leader that does not know yet whom its predecessor granted a lease calls nobody lost.
-void follow_lost(control_state& c, const cluster_state& s, time_point now) {
-    if (!is_time_to_look(c.lost, c.config.lease, now) || !settled(c, s, now)) {
+void update_lost_instances(control_state& c, const cluster_state& s, time_point now) {
+    if (!is_check_due(c.lost, c.config.lease, now) || !knows_all_leases(c, s, now)) {
         return;
     }
     std::set<instance_id> lost;
     for (const auto& [id, record] : s.instances) {
-        if (is_out_of_touch(c, id, now)) {
+        if (is_lost(c, id, now)) {
             lost.insert(id);
         }
     }
     set_lost(c.lost, std::move(lost));
 }
 
-std::uint64_t lost_number(const control_state& c) {
-    return c.lost.lost.empty() ? 0 : number_across_leaders(c, c.lost.changes);
+std::uint64_t lost_version(const control_state& c) {
+    return c.lost.instances.empty() ? 0 : make_monotonic_number(c, c.lost.change_count);
 }
 
 // Whoever goes by an earlier leader's set keeps it until this one knows better.
-std::optional<lost_news> lost_news_for(const control_state& c, const cluster_state& s, const renewal& r) {
-    const std::uint64_t number = lost_number(c);
-    if (r.lost_number == number || !c.lost.is_known) {
+std::optional<lost_update> make_lost_update(const control_state& c, const cluster_state& s, const renewal& r) {
+    const std::uint64_t version = lost_version(c);
+    if (r.lost_version == version || !c.lost.is_known) {
         return std::nullopt;
     }
-    lost_news news;
-    news.number = number;
-    if (number != 0) {
-        news.instances_revision = s.instances_revision;
-        news.bits = encode_lost(c.lost.lost, s.instances);
+    lost_update update;
+    update.version = version;
+    if (version != 0) {
+        update.instances_revision = s.instances_revision;
+        update.bits = encode_lost(c.lost.instances, s.instances);
     }
-    return news;
+    return update;
 }
 
 //-----------------------------------------------------------------------------
@@ -117,7 +117,7 @@
 
 // The daemons that keep one connection even without a lease. Ranking all instances is too much for every
 // renewal, so it is remembered until an instance's record changes.
-void follow_reserves(control_state& c, const cluster_state& s, const share_key& key,
+void update_reserves(control_state& c, const cluster_state& s, const share_key& key,
                      const server_record& server) {
     if (c.shares.accounts[key].reserves_revision != s.instances_revision) {
         set_reserves(c.shares, key, reserve_holders(s, server), s.instances_revision);
@@ -127,14 +127,14 @@
 // The daemon has acted upon a reply of this leader, so it acts upon none of an earlier one any more, and what
 // it claims is all that it holds. The first renewal that arrives may have been sent before an earlier
 // leader's last grant, and claim less.
-bool follows_this_leader(const control_state& c, const instance_id& daemon) {
+bool has_acknowledged_leader(const control_state& c, const instance_id& daemon) {
     const auto d = c.daemons.find(daemon);
-    return d != c.daemons.end() && leader_of_number(d->second.last_reply_seq) == c.leader_term;
+    return d != c.daemons.end() && leader_term_of(d->second.last_reply_seq) == c.leader_term;
 }
 
-bool all_callers_follow(const control_state& c, const cluster_state& s) {
+bool all_holders_acknowledged(const control_state& c, const cluster_state& s) {
     return std::all_of(s.instances.begin(), s.instances.end(), [&c](const auto& i) {
-        return !i.second.takes_callers || follows_this_leader(c, i.first);
+        return !i.second.takes_callers || has_acknowledged_leader(c, i.first);
     });
 }
 
@@ -142,63 +142,63 @@
 // hold none, so one that is gone for good, as a replaced control instance is, need not be waited out: that
 // would take the length of a lease at each start.
 bool knows_all_holders(const control_state& c, const cluster_state& s, time_point now) {
-    if (!c.leading || outlived_earlier_leases(c, now)) {
+    if (!c.leading || earlier_leases_expired(c, now)) {
         return c.leading;
     }
-    return all_callers_follow(c, s);
+    return all_holders_acknowledged(c, s);
 }
 
 unsigned grant_share(control_state& c, const cluster_state& s, const instance_id& daemon,
-                     const share_claim& claim, bool everyone_known, time_point now) {
+                     const share_claim& claim, bool all_holders_known, time_point now) {
     const auto server = s.servers.find(claim.key.server);
-    const service_entry* service = find_service(s.current, claim.key.service);
+    const service_entry* service = find_service(s.current_table, claim.key.service);
     if (server == s.servers.end() || service == nullptr) {
         return 0;
     }
     const auto record = s.instances.find(daemon);
-    if (record == s.instances.end() || !record->second.takes_callers) {
+    if (record == s.instances.end() || !record->second.accepts_clients) {
         return 0; // no such record is committed yet, so the others' shares do not count it
     }
-    follow_reserves(c, s, claim.key, server->second);
+    update_reserves(c, s, claim.key, server->second);
     const unsigned limit = connections_for_requests(service->max_connections, c.config.kept_connections);
     const share_decision decision =
-        decide_share(c.shares, claim.key, c.daemons[daemon].number, claim.wanted, limit, now);
+        decide_share(c.shares, claim.key, c.daemons[daemon].holder, claim.wanted, limit, now);
     // Until it is known what everyone holds, nobody gets more than it has.
-    const unsigned cap = everyone_known ? decision.target : std::min(decision.target, claim.in_effect);
+    const unsigned cap = all_holders_known ? decision.target : std::min(decision.target, claim.in_effect);
     return next_share(limit, cap, decision.held_by_others);
 }
 
 // Whoever may hold a part of a share stays a holder of it until it is known to hold nothing.
-void follow_claims(control_state& c, daemon_state& d, const std::vector<share_claim>& claims) {
+void update_claims(control_state& c, daemon_state& d, const std::vector<share_claim>& claims) {
     d.claims.clear();
     for (const share_claim& claim : claims) {
         d.claims[claim.key] = claim;
-        d.accounts.insert(claim.key);
+        d.share_keys.insert(claim.key);
     }
-    std::erase_if(d.accounts, [&](const share_key& key) {
+    std::erase_if(d.share_keys, [&](const share_key& key) {
         const auto claim = d.claims.find(key);
         const unsigned held = held_share(d, key);
         if (claim == d.claims.end() && held == 0) {
-            forget_holder(c.shares, key, d.number);
+            forget_holder(c.shares, key, d.holder);
             return true;
         }
-        note_holder(c.shares, key, d.number, held, claim == d.claims.end() ? 0 : claim->second.wanted);
+        note_holder(c.shares, key, d.holder, held, claim == d.claims.end() ? 0 : claim->second.wanted);
         return false;
     });
 }
 
-void answer_claims(control_state& c, const cluster_state& s, const renewal& r, time_point now,
+void grant_shares(control_state& c, const cluster_state& s, const renewal& r, time_point now,
                    renewal_reply& reply) {
     daemon_state& d = c.daemons[r.instance.id];
     sent_shares sent{.seq = reply.seq, .shares = {}};
-    const bool everyone_known = knows_all_holders(c, s, now);
+    const bool all_holders_known = knows_all_holders(c, s, now);
     for (const share_claim& claim : r.claims) {
-        const unsigned share = grant_share(c, s, r.instance.id, claim, everyone_known, now);
+        const unsigned share = grant_share(c, s, r.instance.id, claim, all_holders_known, now);
         reply.shares.push_back({.key = claim.key, .connections = share});
         sent.shares[claim.key] = share;
-        note_holder(c.shares, claim.key, d.number, std::max(share, held_share(d, claim.key)), claim.wanted);
+        note_holder(c.shares, claim.key, d.holder, std::max(share, held_share(d, claim.key)), claim.wanted);
     }
-    d.unconfirmed.push_back(std::move(sent));
+    d.unconfirmed_replies.push_back(std::move(sent));
 }
 //-----------------------------------------------------------------------------
 // [observers]
@@ -217,11 +217,11 @@
         return;
     }
     c.observers.clear();
-    c.observed_by.clear();
+    c.servers_by_observer.clear();
     for (const auto& [id, server] : s.servers) {
         c.observers[id] = choose_observers(live, id);
         for (const instance_id& observer : c.observers[id]) {
-            c.observed_by[observer].push_back(id);
+            c.servers_by_observer[observer].push_back(id);
         }
     }
     c.observer_candidates = std::move(live);
@@ -233,26 +233,26 @@
 
 // Lives of an instance are ordered by the time of day at their start. Where that was set back, the next one
 // counts once the known one has been silent for a lease.
-bool is_next_life(const control_state& c, const daemon_state& d, const renewal& r, time_point now) {
-    const bool known_is_over = !has_live_lease(d, now) && now - d.seen_at >= grantor_length(c.config.lease);
-    return r.incarnation > d.incarnation || (r.incarnation < d.incarnation && known_is_over);
+bool is_next_incarnation(const control_state& c, const daemon_state& d, const renewal& r, time_point now) {
+    const bool known_has_ended = !has_live_lease(d, now) && now - d.last_renewal_at >= grantor_length(c.config.lease);
+    return r.incarnation > d.incarnation || (r.incarnation < d.incarnation && known_has_ended);
 }
 
 // Sent before the daemon acted upon a reply that a later renewal has named. What it claims may be less than
 // the daemon holds by now, and others would be given the difference.
-bool was_overtaken(const daemon_state& d, const renewal& r) {
+bool is_out_of_order(const daemon_state& d, const renewal& r) {
     return r.last_reply_seq < d.last_reply_seq;
 }
 
 // Takes what the daemon says of itself and of servers.
-void take_claims_and_observations(control_state& c, daemon_state& d, const renewal& r) {
+void apply_claims_and_observations(control_state& c, daemon_state& d, const renewal& r) {
     d.last_reply_seq = r.last_reply_seq;
     d.observations.clear();
     for (const server_observation& o : r.observations) {
         d.observations[o.server] = o;
     }
-    std::erase_if(d.unconfirmed, [&r](const sent_shares& sent) { return sent.seq <= r.last_reply_seq; });
-    follow_claims(c, d, r.claims);
+    std::erase_if(d.unconfirmed_replies, [&r](const sent_shares& sent) { return sent.seq <= r.last_reply_seq; });
+    update_claims(c, d, r.claims);
 }
 
 // None before the daemon's record is in the log: the next leader would not know whose lease to wait for.
@@ -262,11 +262,11 @@
         return;
     }
     daemon_state& d = c.daemons[r.instance.id];
-    const time_point until = now + grantor_length(c.config.lease);
+    const time_point expires_at = now + grantor_length(c.config.lease);
     reply.lease = c.config.lease;
-    forget_old_leases(d, now);
-    note_granted(d, reply.revision, until);
-    c.shares.counts_until[d.number] = until + grantor_length(c.config.share_grace);
+    remove_expired_leases(d, now);
+    record_lease(d, reply.revision, expires_at);
+    c.shares.counts_until[d.holder] = expires_at + grantor_length(c.config.share_grace);
 }
 
 } // namespace
@@ -275,11 +275,11 @@
 // [public functions]
 //-----------------------------------------------------------------------------
 
-std::uint64_t number_across_leaders(const control_state& c, std::uint64_t count) {
+std::uint64_t make_monotonic_number(const control_state& c, std::uint64_t count) {
     return (c.leader_term << leader_term_shift) + count;
 }
 
-std::uint64_t leader_of_number(std::uint64_t number) {
+std::uint64_t leader_term_of(std::uint64_t number) {
     return number >> leader_term_shift;
 }
 
@@ -300,8 +300,8 @@
     c.failovers.clear();
 }
 
-bool settled(const control_state& c, const cluster_state& s, time_point now) {
-    if (!c.leading || outlived_earlier_leases(c, now)) {
+bool knows_all_leases(const control_state& c, const cluster_state& s, time_point now) {
+    if (!c.leading || earlier_leases_expired(c, now)) {
         return c.leading;
     }
     return std::all_of(s.instances.begin(), s.instances.end(),
@@ -310,13 +310,13 @@
 
 bool has_live_lease(const daemon_state& d, time_point now) {
     return std::any_of(d.leases.begin(), d.leases.end(),
-                       [now](const granted_lease& g) { return g.until > now; });
+                       [now](const granted_lease& g) { return g.expires_at > now; });
 }
 
 unsigned held_share(const daemon_state& d, const share_key& key) {
     const auto claim = d.claims.find(key);
     unsigned held = claim == d.claims.end() ? 0 : claim->second.in_effect;
-    for (const sent_shares& sent : d.unconfirmed) {
+    for (const sent_shares& sent : d.unconfirmed_replies) {
         const auto share = sent.shares.find(key);
         if (share != sent.shares.end()) {
             held = std::max(held, share->second);
@@ -329,7 +329,7 @@
                          control_actions& actions) {
     renewal_reply reply;
     daemon_state& d = c.daemons[r.instance.id];
-    if (is_next_life(c, d, r, now)) {
+    if (is_next_incarnation(c, d, r, now)) {
         const auto leases = d.leases; // the earlier life may not be dead yet, only slow
         d = daemon_state{};
         d.leases = leases;
@@ -340,47 +340,47 @@
         reply.code = result_code::bad_message; // an earlier life of this instance
         return reply;
     }
-    d.number = number_holder(c.shares, r.instance.id);
+    d.holder = number_holder(c.shares, r.instance.id);
     d.domain = r.instance.domain;
-    d.confirmed = std::max(d.confirmed, r.applied);
-    d.seen_at = now;
-    note_back(c.lost, r.instance.id);
-    const bool overtaken = was_overtaken(d, r);
-    if (!overtaken) {
-        take_claims_and_observations(c, d, r);
+    d.confirmed_revision = std::max(d.confirmed_revision, r.applied_revision);
+    d.last_renewal_at = now;
+    remove_lost(c.lost, r.instance.id);
+    const bool out_of_order = is_out_of_order(d, r);
+    if (!out_of_order) {
+        apply_claims_and_observations(c, d, r);
     }
     for (const server_announcement& a : r.announcements) {
-        take_announcement(c, s, a, now, actions);
+        handle_announcement(c, s, a, now, actions);
     }
     register_if_new(c, s, r.instance, actions);
-    reply.revision = c.needed_revision == 0 ? s.revision : c.needed_revision;
+    reply.revision = c.lease_revision == 0 ? s.revision : c.lease_revision;
     if (r.stopping) {
         d.leases.clear();
         d.claims.clear();
-        d.unconfirmed.clear();
-        forget_holder(c.shares, d.number);
+        d.unconfirmed_replies.clear();
+        forget_holder(c.shares, d.holder);
         return reply;
     }
-    reply.seq = number_across_leaders(c, ++d.replies);
-    const bool roomy = d.unconfirmed.size() < max_unconfirmed_replies;
-    if (roomy && !overtaken) {
-        answer_claims(c, s, r, now, reply);
+    reply.seq = make_monotonic_number(c, ++d.reply_count);
+    const bool has_room = d.unconfirmed_replies.size() < max_unconfirmed_replies;
+    if (has_room && !out_of_order) {
+        grant_shares(c, s, r, now, reply);
     }
     grant_lease(c, s, r, now, reply);
-    const auto observed = c.observed_by.find(r.instance.id);
-    if (observed != c.observed_by.end()) {
-        reply.observe = observed->second;
+    const auto observed = c.servers_by_observer.find(r.instance.id);
+    if (observed != c.servers_by_observer.end()) {
+        reply.servers_to_observe = observed->second;
     }
     reply.control_addresses = c.control_addresses;
-    reply.lost = lost_news_for(c, s, r);
+    reply.lost = make_lost_update(c, s, r);
     reply.renew_after = renewal_interval(c.config.lease, s.instances.size());
     return reply;
 }
 
 std::vector<rate_grant> on_rate_request(control_state& c, const cluster_state& s, const rate_request& r,
                                         time_point now) {
-    const rate_rules rules{.bounds = c.config.rates, .knows_all = all_callers_follow(c, s)};
-    return answer_rates(c.rates, s.current, rules, r, now);
+    const rate_rules rules{.bounds = c.config.rates, .knows_all = all_holders_acknowledged(c, s)};
+    return answer_rates(c.rates, s.current_table, rules, r, now);
 }
 
 void on_applied(control_state& c, const cluster_state& s, time_point now, control_actions& actions) {
@@ -394,7 +394,7 @@
     });
     for (const server_id& id : c.proposed_removals) {
         if (!s.servers.contains(id)) {
-            c.announced.erase(id); // whoever comes back starts anew
+            c.latest_announcements.erase(id); // whoever comes back starts anew
             c.proposed_servers.erase(id);
         }
     }
@@ -411,7 +411,7 @@
         return;
     }
     assign_observers(c, s, now);
-    follow_lost(c, s, now);
+    update_lost_instances(c, s, now);
     for (const auto& [id, group] : s.groups) {
         const auto running = c.failovers.find(id);
         if (running != c.failovers.end()) {
@@ -421,27 +421,27 @@
         } else if (looks_dead(c, group.primary, now) || has_primary_restarted(s, group)) {
             begin_failover(c, s, group, false, {}, now, actions);
         } else if (must_leave_primary(c, s, group, now, actions)) {
-            c.switched_at[id] = now;
+            c.last_switchover_at[id] = now;
             begin_failover(c, s, group, true, {}, now, actions);
         }
     }
-    for (const auto& [id, seen] : c.announced) {
-        remove_if_gone(c, s, seen.last, actions);
+    for (const auto& [id, seen] : c.latest_announcements) {
+        remove_if_stopped(c, s, seen.announcement, actions);
     }
-    forget_lost_servers(c, s, now, actions);
+    remove_lost_servers(c, s, now, actions);
 }
 
 void on_server_answer(control_state& c, const cluster_state& s, const server_answer& a, time_point now,
                       control_actions& actions) {
-    if (c.founding.contains(a.operation)) {
-        finish_founding(c, s, a, actions);
+    if (c.pending_group_creations.contains(a.operation)) {
+        finish_group_creation(c, s, a, actions);
         return;
     }
     for (auto& [id, f] : c.failovers) {
-        if (!f.open_operations.contains(a.operation)) {
+        if (!f.pending_operations.contains(a.operation)) {
             continue;
         }
-        f.open_operations.erase(a.operation);
+        f.pending_operations.erase(a.operation);
         const auto group = s.groups.find(id);
         if (group == s.groups.end()) {
             return;
@@ -458,14 +458,14 @@
         return result_code::no_such_record;
     }
     const auto running = c.failovers.find(group);
-    const bool busy = running != c.failovers.end() && running->second.step != failover_step::approaching;
+    const bool busy = running != c.failovers.end() && running->second.step != failover_step::catching_up;
     if (busy || found->second.phase != group_phase::serving || found->second.primary == target) {
         return result_code::switchover_refused;
     }
     if (!target.value.empty()) {
         const auto server = s.servers.find(target);
-        const bool fits = server != s.servers.end() && server->second.group == group;
-        if (!fits || !looks_alive(c, target, now)) {
+        const bool is_member = server != s.servers.end() && server->second.group == group;
+        if (!is_member || !looks_alive(c, target, now)) {
             return result_code::switchover_refused;
         }
     }
@@ -474,24 +474,24 @@
 }
 
 bool is_in_force(const control_state& c, const cluster_state& s, revision_number revision, time_point now) {
-    return settled(c, s, now) && holding_back(c, s, revision, now).empty();
+    return knows_all_leases(c, s, now) && unconfirmed_daemons(c, s, revision, now).empty();
 }
 
-std::vector<instance_id> holding_back(const control_state& c, const cluster_state& s,
+std::vector<instance_id> unconfirmed_daemons(const control_state& c, const cluster_state& s,
                                       revision_number revision, time_point now) {
     std::vector<instance_id> found;
     for (const auto& [id, d] : c.daemons) {
-        if (may_act_on_older(d, revision, now)) {
+        if (may_use_older_revision(d, revision, now)) {
             found.push_back(id);
         }
     }
-    if (outlived_earlier_leases(c, now)) {
+    if (earlier_leases_expired(c, now)) {
         return found;
     }
     // An earlier leader may have granted anyone a lease for anything that it has not confirmed to be past.
     for (const auto& [id, record] : s.instances) {
         const auto d = c.daemons.find(id);
-        const bool confirmed = d != c.daemons.end() && d->second.confirmed >= revision;
+        const bool confirmed = d != c.daemons.end() && d->second.confirmed_revision >= revision;
         if (!confirmed && std::find(found.begin(), found.end(), id) == found.end()) {
             found.push_back(id);
         }
--- a/src/core/control.hpp
+++ b/src/core/control.hpp
@@ -5,7 +5,7 @@
 // Failover, per group
 //   idle -> fencing   a majority of the server's observers call the primary dead: command set_group(fencing)
 //   -> revoking       committed; wait until every daemon has confirmed it or its lease has run out
-//   -> probing        ask every replica for its position; wait for all, or probe_wait
+//   -> probing        ask every replica for its position; wait for all, or probe_timeout
 //   -> promoting      promote the one with the highest position; on failure go back to probing
 //   -> idle           command set_group(serving, term + 1), committed
 // A new leader that finds a group in phase fencing goes on from `revoking`.
@@ -44,7 +44,7 @@
 struct server_observation {
     server_id server;
     bool alive = false;   // answered within the detection time
-    bool refused = false; // the connection was refused: no process is there
+    bool connection_refused = false; // the connection was refused: no process is there
     bool is_primary = false;
     std::uint64_t timeline = 0;
     log_position position = 0;
@@ -58,7 +58,7 @@
     std::uint64_t timeline = 0; // 0: not told
     log_position position = 0;
     bool leaving = false;       // serves for some seconds more
-    bool gone = false;          // serves nothing any more: its record may go
+    bool stopped = false;          // serves nothing any more: its record may go
     std::uint64_t sequence = 0; // rises from one announcement of a server to the next
     auto operator<=>(const server_announcement&) const = default;
 };
@@ -66,13 +66,13 @@
 struct renewal {
     instance_record instance;
     std::uint64_t incarnation = 0;    // another one after every restart
-    revision_number applied = 0;      // everything up to this is in force there
+    revision_number applied_revision = 0;      // everything up to this is in force there
     std::uint64_t last_reply_seq = 0; // newest reply that it has acted upon
     bool stopping = false;            // gives its lease and shares back
     std::vector<server_observation> observations;
     std::vector<server_announcement> announcements;
     std::vector<share_claim> claims;
-    std::uint64_t lost_number = 0; // of the set of lost instances that it goes by
+    std::uint64_t lost_version = 0; // of the set of lost instances that it goes by
     bool operator==(const renewal&) const = default;
 };
 
@@ -82,9 +82,9 @@
     revision_number revision = 0; // the lease counts once this is applied
     std::uint64_t seq = 0;
     std::vector<share_grant> shares;
-    std::vector<server_id> observe;             // to be probed by this daemon
+    std::vector<server_id> servers_to_observe;             // to be probed by this daemon
     std::vector<std::string> control_addresses; // peer listeners of the control instances
-    std::optional<lost_news> lost;              // nothing: the set that the daemon named still holds
+    std::optional<lost_update> lost;              // nothing: the set that the daemon named still holds
     duration renew_after{0};                    // from the renewal's sending to the next one's; 0: not told
     bool operator==(const renewal_reply&) const = default;
 };
@@ -112,15 +112,15 @@
 };
 
 // Something an operator wants to read in the log.
-struct note_event {
-    std::string what;
+struct report_event {
+    std::string event;
     group_id group;
     server_id server;
     duration since_suspected{0}; // since the failover began; 0 outside one
     bool planned = false;        // of a switch that an operator or a leaving primary asked for
 };
 
-using control_action = std::variant<propose_command, probe_server, promote_server, note_event>;
+using control_action = std::variant<propose_command, probe_server, promote_server, report_event>;
 using control_actions = std::vector<control_action>;
 
 struct server_answer {
@@ -130,7 +130,7 @@
     bool is_primary = false;
     std::uint64_t timeline = 0;
     log_position position = 0;
-    bool undecided = false; // an order to promote had no answer: it may be carried out yet
+    bool outcome_unknown = false; // an order to promote had no answer: it may be carried out yet
     auto operator<=>(const server_answer&) const = default;
 };
 
@@ -140,21 +140,21 @@
 
 struct control_settings {
     duration lease = std::chrono::milliseconds{1000};
-    duration probe_wait = std::chrono::milliseconds{300};    // for the replicas' positions
-    duration promote_wait = std::chrono::milliseconds{2000}; // for one promotion
-    duration retry_wait = std::chrono::milliseconds{200};    // before asking again when no replica answers
+    duration probe_timeout = std::chrono::milliseconds{300};    // for the replicas' positions
+    duration promotion_timeout = std::chrono::milliseconds{2000}; // for one promotion
+    duration retry_delay = std::chrono::milliseconds{200};    // before asking again when no replica answers
     // For a successor to catch up, with the writes fenced. A second or two is within what callers wait for a
     // failover; an operator's switch gives up after it also before the fence.
-    duration switchover_wait = std::chrono::milliseconds{3000};
+    duration switchover_timeout = std::chrono::milliseconds{3000};
     // Between two questions for the positions of a planned switch, at least: a usual replication lag.
     duration catch_up_interval = std::chrono::milliseconds{50};
-    duration observation_age = std::chrono::milliseconds{1000}; // older ones count no more
-    duration announcement_age = std::chrono::milliseconds{3000};
-    duration switchover_pause = std::chrono::milliseconds{1000}; // between two tries to leave one primary
+    duration max_observation_age = std::chrono::milliseconds{1000}; // older ones count no more
+    duration max_announcement_age = std::chrono::milliseconds{3000};
+    duration switchover_retry_interval = std::chrono::milliseconds{1000}; // between two tries to leave one primary
     // A daemon whose lease has ended keeps its connections for this long, for reads by known positions: most
     // of the least staleness that routes state (1.5 s).
     duration share_grace = std::chrono::milliseconds{1200};
-    duration forget_after = std::chrono::seconds{12}; // servers that neither answer nor announce themselves
+    duration lost_server_timeout = std::chrono::seconds{12}; // servers that neither answer nor announce themselves
     unsigned kept_connections = 0; // of a service's limit to one server, kept back for probes
     // Where promotions go through an authority that fences by token, a call whose answer was lost may be
     // carried out later. Each failover then ends with a call of its own, also for the present primary.
@@ -164,7 +164,7 @@
 
 struct granted_lease {
     revision_number revision = 0; // control's when it granted
-    time_point until{};
+    time_point expires_at{};
     auto operator<=>(const granted_lease&) const = default;
 };
 
@@ -175,49 +175,49 @@
 
 struct daemon_state {
     std::uint64_t incarnation = 0;
-    holder_number number = 0; // in the ledger of shares
+    holder_number holder = 0; // in the ledger of shares
     failure_domain domain;
-    revision_number confirmed = 0;
+    revision_number confirmed_revision = 0;
     std::deque<granted_lease> leases; // one per revision, the longest
     std::uint64_t last_reply_seq = 0; // the newest that its renewals have named
-    time_point seen_at{};
+    time_point last_renewal_at{};
     std::map<server_id, server_observation> observations;
-    std::uint64_t replies = 0;           // sent to it by this leader
-    std::deque<sent_shares> unconfirmed; // replies that it may yet act upon
+    std::uint64_t reply_count = 0;           // sent to it by this leader
+    std::deque<sent_shares> unconfirmed_replies; // replies that it may yet act upon
     std::map<share_key, share_claim> claims;
-    std::set<share_key> accounts; // shares that it holds a part of, or wants one
+    std::set<share_key> share_keys; // shares that it holds a part of, or wants one
 };
 
-enum class failover_step : std::uint8_t { approaching, fencing, revoking, probing, promoting, publishing };
+enum class failover_step : std::uint8_t { catching_up, fencing, revoking, probing, promoting, publishing };
 
 struct failover {
     failover_step step = failover_step::fencing;
     time_point started_at{};
-    time_point step_at{};
+    time_point step_started_at{};
     revision_number fence_revision = 0; // everyone must have confirmed this
-    std::set<std::uint64_t> open_operations;
+    std::set<std::uint64_t> pending_operations;
     std::map<server_id, server_answer> answers;
-    std::set<server_id> failed; // candidates that did not answer a promotion
+    std::set<server_id> failed_candidates; // candidates that did not answer a promotion
     std::optional<server_id> candidate;
-    std::uint64_t ordered_timeline = 0; // that the candidate was seen on
-    std::optional<server_id> wanted;    // a switchover's target
+    std::uint64_t promotion_timeline = 0; // that the candidate was seen on
+    std::optional<server_id> requested_target;    // a switchover's target
     bool planned = false;               // loses nothing; the old primary may be chosen again
-    std::optional<log_position> goal;   // approaching: what the primary held when it was asked first
-    time_point fence_wanted_at{};       // planned: writes have been closed since
-    log_position restarted_at = 0;      // the primary started again, and was seen to hold so much before
+    std::optional<log_position> catch_up_position;   // approaching: what the primary held when it was asked first
+    time_point fence_proposed_at{};       // planned: writes have been closed since
+    log_position position_before_restart = 0;      // the primary started again, and was seen to hold so much before
 };
 
-struct seen_server {
-    server_announcement last;
-    time_point at{};
+struct received_announcement {
+    server_announcement announcement;
+    time_point received_at{};
 };
 
 // Announcements that look overtaken, as long as they go on.
-struct doubted_start {
-    std::uint64_t started = 0;
+struct unverified_start {
+    std::uint64_t start_time_ms = 0;
     std::uint64_t sequence = 0;
-    time_point first_at{};
-    time_point last_at{};
+    time_point first_received_at{};
+    time_point last_received_at{};
 };
 
 struct control_state {
@@ -227,28 +227,28 @@
     std::uint64_t leader_term = 0; // of the control log; orders the replies of different leaders
     std::map<instance_id, daemon_state> daemons;
     std::map<group_id, failover> failovers;
-    std::map<server_id, seen_server> announced;
+    std::map<server_id, received_announcement> latest_announcements;
     std::vector<observer_candidate> observer_candidates; // that `observers` was made from
     std::map<server_id, std::vector<instance_id>> observers;
-    std::map<instance_id, std::vector<server_id>> observed_by; // the same, the other way round
+    std::map<instance_id, std::vector<server_id>> servers_by_observer; // the same, the other way round
     share_ledger shares;
     rate_ledger rates;
-    lost_ledger lost;
+    lost_tracker lost;
     std::set<instance_id> proposed_instances; // in the log, not applied yet
     std::map<server_id, server_record> proposed_servers;
     std::set<group_id> proposed_groups;
     std::set<server_id> proposed_removals;
-    time_point looked_for_lost_at{};                       // forget_lost_servers()
-    std::map<server_id, std::uint64_t> said_goodbye;       // which start of theirs
-    std::map<server_id, doubted_start> doubted;            // one that goes on is another start after all
-    std::uint64_t starts_numbered = 0;                     // by this leader
+    time_point lost_servers_checked_at{};                       // remove_lost_servers()
+    std::map<server_id, std::uint64_t> stopped_starts;       // which start of theirs
+    std::map<server_id, unverified_start> unverified_starts;            // one that goes on is another start after all
+    std::uint64_t start_number_count = 0;                     // by this leader
     std::map<std::string, server_id> address_holders;      // by "host:port": who came up there last
-    std::set<server_id> replaced;                          // another server came up at their address
-    std::map<std::uint64_t, server_announcement> founding; // by operation: asked for its timeline
-    std::map<group_id, time_point> switched_at;            // last try to leave a leaving primary
-    std::set<group_id> without_successor;                  // their leaving primary cannot be replaced
+    std::set<server_id> replaced_servers;                          // another server came up at their address
+    std::map<std::uint64_t, server_announcement> pending_group_creations; // by operation: asked for its timeline
+    std::map<group_id, time_point> last_switchover_at;            // last try to leave a leaving primary
+    std::set<group_id> groups_without_successor;                  // their leaving primary cannot be replaced
     std::vector<std::string> control_addresses;            // told to daemons; set by the control core
-    revision_number needed_revision = 0; // a lease counts once it is applied; set likewise; 0: the newest
+    revision_number lease_revision = 0; // a lease counts once it is applied; set likewise; 0: the newest
     std::uint64_t next_operation = 1;
 };
 
@@ -258,10 +258,10 @@
 
 // Rises with `count`, also over a change of leader. Numbers the replies to a daemon (one that names a reply
 // has acted upon no later one of any leader) and the orders to promote.
-std::uint64_t number_across_leaders(const control_state& c, std::uint64_t count);
+std::uint64_t make_monotonic_number(const control_state& c, std::uint64_t count);
 
 // The term of the leader that gave out this number.
-std::uint64_t leader_of_number(std::uint64_t number);
+std::uint64_t leader_term_of(std::uint64_t number);
 
 // This instance has won an election and knows every committed command, or has lost the lead.
 void start_leading(control_state& c, std::uint64_t leader_term, time_point now);
@@ -269,7 +269,7 @@
 
 // Every lease that an earlier leader granted has run out, or its holder is known to be in touch with this
 // one: then what it holds is known, and what it has confirmed counts (see is_in_force()).
-bool settled(const control_state& c, const cluster_state& s, time_point now);
+bool knows_all_leases(const control_state& c, const cluster_state& s, time_point now);
 
 // A daemon renews its lease. Call only while raft::leader_has_lease().
 renewal_reply on_renewal(control_state& c, const cluster_state& s, const renewal& r, time_point now,
@@ -293,7 +293,7 @@
 bool is_in_force(const control_state& c, const cluster_state& s, revision_number revision, time_point now);
 
 // The daemons that still may, for an operator who waits.
-std::vector<instance_id> holding_back(const control_state& c, const cluster_state& s,
+std::vector<instance_id> unconfirmed_daemons(const control_state& c, const cluster_state& s,
                                       revision_number revision, time_point now);
 
 bool has_live_lease(const daemon_state& d, time_point now);
--- a/src/core/control_core.cpp
+++ b/src/core/control_core.cpp
@@ -21,7 +21,7 @@
 }
 
 void note_event_now(control_core& c, const std::string& what) {
-    c.out.actions.emplace_back(note_event{.what = what, .group = {}, .server = {}});
+    c.out.actions.emplace_back(report_event{.event = what, .group = {}, .server = {}});
 }
 
 // Daemons need the table, not the operator's document of it, which is as large again.
@@ -360,7 +360,7 @@
     for (const raft::member& m : c.consensus.members.members) {
         c.control.control_addresses.push_back(m.address);
     }
-    c.control.needed_revision = c.urgent_revision;
+    c.control.lease_revision = c.urgent_revision;
     const renewal_reply reply = on_renewal(c.control, c.cluster, r, now, actions);
     carry_out(c, actions, now);
     settle(c, now);
--- a/src/core/failover.cpp
+++ b/src/core/failover.cpp
@@ -16,7 +16,7 @@
 
 void note(control_actions& actions, const failover& f, const std::string& what, const group_id& group,
           const server_id& server, time_point now) {
-    actions.emplace_back(note_event{.what = what,
+    actions.emplace_back(report_event{.event = what,
                                     .group = group,
                                     .server = server,
                                     .since_suspected = now - f.started_at,
@@ -25,7 +25,7 @@
 
 void enter(failover& f, failover_step step, time_point now) {
     f.step = step;
-    f.step_at = now;
+    f.step_started_at = now;
 }
 
 // Prefers the longest log; among equals the operator's wish, then weight, then the name.
@@ -37,13 +37,13 @@
     if (a.position != b.position) {
         return a.position > b.position;
     }
-    const bool a_wanted = f.wanted == a.server;
-    const bool b_wanted = f.wanted == b.server;
+    const bool a_wanted = f.requested_target == a.server;
+    const bool b_wanted = f.requested_target == b.server;
     if (a_wanted != b_wanted) {
         return a_wanted;
     }
-    const unsigned a_weight = server_settings(s.current, a.server).weight;
-    const unsigned b_weight = server_settings(s.current, b.server).weight;
+    const unsigned a_weight = server_settings(s.current_table, a.server).weight;
+    const unsigned b_weight = server_settings(s.current_table, b.server).weight;
     return a_weight != b_weight ? a_weight > b_weight : a.server < b.server;
 }
 
@@ -71,7 +71,7 @@
     }
     // It started again and has lost a part of its log. As long as another server may hold that, waiting is
     // better than going on without it; one that is lost for good loses its record.
-    const bool lost_log = answer.server == group.primary && answer.position < f.restarted_at;
+    const bool lost_log = answer.server == group.primary && answer.position < f.position_before_restart;
     return !lost_log || servers_of(s, group.id).size() <= 1;
 }
 
@@ -102,7 +102,7 @@
                                     const failover& f, log_position held) {
     const server_answer* best = nullptr;
     for (const auto& [id, answer] : f.answers) {
-        const bool wanted = !f.wanted || *f.wanted == id;
+        const bool wanted = !f.requested_target || *f.requested_target == id;
         const bool holds_all = may_lead(c, s, group, f, answer) && answer.position >= held;
         if (id == group.primary || !wanted || !holds_all || is_leaving(s, id)) {
             continue;
@@ -120,10 +120,10 @@
 }
 
 // Writes are closed for no longer than the approach took, which is about the replication lag, and
-// switchover_wait.
+// switchover_timeout.
 bool has_waited_long(const control_state& c, const failover& f, time_point now) {
-    const duration approach = f.fence_wanted_at - f.started_at;
-    return now - f.fence_wanted_at >= approach + c.config.switchover_wait;
+    const duration approach = f.fence_proposed_at - f.started_at;
+    return now - f.fence_proposed_at >= approach + c.config.switchover_timeout;
 }
 
 // A promotion that an earlier leader ordered is found done.
@@ -156,15 +156,15 @@
                    failover_step step, time_point now, control_actions& actions) {
     enter(f, step, now);
     f.answers.clear();
-    f.open_operations.clear();
+    f.pending_operations.clear();
     // The old primary may go on, under the next term, where most observers have it back: its log is whole.
     const bool primary_is_out = !f.planned && looks_dead(c, group.primary, now);
     for (const server_record& server : servers_of(s, group.id)) {
-        if ((server.id == group.primary && primary_is_out) || f.failed.contains(server.id)) {
+        if ((server.id == group.primary && primary_is_out) || f.failed_candidates.contains(server.id)) {
             continue;
         }
         const std::uint64_t operation = c.next_operation++;
-        f.open_operations.insert(operation);
+        f.pending_operations.insert(operation);
         actions.emplace_back(probe_server{.operation = operation, .server = server});
     }
 }
@@ -177,15 +177,15 @@
 // A planned switch asks again soon at first, and seldom once the replicas are seen to be far behind: about
 // twelve times in the 7 s that a leaving server has by default.
 bool may_ask_again(const control_state& c, const failover& f, time_point since, time_point now) {
-    const duration answered_within = f.open_operations.empty() ? duration{0} : c.config.probe_wait;
-    const duration pause = std::max(c.config.catch_up_interval, (f.step_at - since) / 2);
-    return now - f.step_at >= std::max(answered_within, pause);
+    const duration answered_within = f.pending_operations.empty() ? duration{0} : c.config.probe_timeout;
+    const duration pause = std::max(c.config.catch_up_interval, (f.step_started_at - since) / 2);
+    return now - f.step_started_at >= std::max(answered_within, pause);
 }
 
 void fence(const group_record& group, failover& f, time_point now, control_actions& actions) {
     enter(f, failover_step::fencing, now);
-    f.fence_wanted_at = now;
-    f.open_operations.clear();
+    f.fence_proposed_at = now;
+    f.pending_operations.clear();
     group_record next = group;
     next.phase = group_phase::fencing;
     actions.emplace_back(propose_command{
@@ -199,10 +199,10 @@
     next.term = group.term + 1;
     next.primary = winner.server;
     const auto record = s.servers.find(winner.server);
-    next.primary_start = record == s.servers.end() ? 0 : record->second.start_number;
+    next.primary_start_number = record == s.servers.end() ? 0 : record->second.start_number;
     next.phase = group_phase::serving;
     next.timeline = winner.timeline;
-    next.starts.push_back({.term = next.term, .position = winner.position});
+    next.term_starts.push_back({.term = next.term, .position = winner.position});
     actions.emplace_back(propose_command{
         set_group{.expected_term = group.term, .expected_phase = group_phase::fencing, .next = next}});
     note(actions, f, "promoted", group.id, winner.server, now);
@@ -213,13 +213,13 @@
 void order_promotion(control_state& c, const cluster_state& s, const group_record& group, failover& f,
                      std::uint64_t timeline, time_point now, control_actions& actions) {
     const std::uint64_t operation = c.next_operation++;
-    f.open_operations = {operation};
-    f.ordered_timeline = timeline;
+    f.pending_operations = {operation};
+    f.promotion_timeline = timeline;
     note(actions, f, "promoting", group.id, *f.candidate, now);
     actions.emplace_back(promote_server{.operation = operation,
                                         .server = s.servers.at(*f.candidate),
                                         .timeline = timeline,
-                                        .token = number_across_leaders(c, operation)});
+                                        .token = make_monotonic_number(c, operation)});
 }
 
 void promote_best(control_state& c, const cluster_state& s, const group_record& group, failover& f,
@@ -263,19 +263,19 @@
 void approach(control_state& c, const cluster_state& s, const group_record& group, failover& f,
               time_point now, control_actions& actions) {
     const server_answer* primary = answer_of_primary(group, f);
-    if (!f.goal && primary != nullptr) {
-        f.goal = primary->position;
+    if (!f.catch_up_position && primary != nullptr) {
+        f.catch_up_position = primary->position;
     }
     const bool alive = !looks_dead(c, group.primary, now) && !has_primary_restarted(s, group);
     if (!alive) {
         begin_failover(c, s, group, false, {}, now, actions);
-    } else if (f.goal && find_successor(c, s, group, f, *f.goal) != nullptr) {
+    } else if (f.catch_up_position && find_successor(c, s, group, f, *f.catch_up_position) != nullptr) {
         fence(group, f, now, actions);
-    } else if (now - f.started_at >= c.config.switchover_wait && !is_leaving(s, group.primary)) {
+    } else if (now - f.started_at >= c.config.switchover_timeout && !is_leaving(s, group.primary)) {
         note(actions, f, "switchover_given_up", group.id, group.primary, now);
         c.failovers.erase(group.id);
     } else if (may_ask_again(c, f, f.started_at, now)) {
-        ask_positions(c, s, group, f, failover_step::approaching, now, actions);
+        ask_positions(c, s, group, f, failover_step::catching_up, now, actions);
     }
 }
 
@@ -287,10 +287,10 @@
         ask_replicas(c, s, group, f, now, actions);
         return;
     }
-    if (f.planned && f.wanted && has_waited_long(c, f, now)) {
-        f.wanted.reset(); // anyone who holds everything may go on
+    if (f.planned && f.requested_target && has_waited_long(c, f, now)) {
+        f.requested_target.reset(); // anyone who holds everything may go on
     }
-    if (f.open_operations.empty() || now - f.step_at >= c.config.probe_wait) {
+    if (f.pending_operations.empty() || now - f.step_started_at >= c.config.probe_timeout) {
         promote_best(c, s, group, f, now, actions);
     }
     if (f.step != failover_step::probing) {
@@ -298,10 +298,10 @@
     }
     if (f.planned && has_waited_long(c, f, now) && answer_of_primary(group, f) == nullptr) {
         give_up_switch(c, s, group, f, now, actions);
-    } else if (f.planned && may_ask_again(c, f, f.fence_wanted_at, now)) {
+    } else if (f.planned && may_ask_again(c, f, f.fence_proposed_at, now)) {
         ask_replicas(c, s, group, f, now, actions);
-    } else if (now - f.step_at >= c.config.probe_wait + c.config.retry_wait) {
-        f.failed.clear(); // one that failed before may be back
+    } else if (now - f.step_started_at >= c.config.probe_timeout + c.config.retry_delay) {
+        f.failed_candidates.clear(); // one that failed before may be back
         ask_replicas(c, s, group, f, now, actions);
     }
 }
@@ -313,7 +313,7 @@
 //-----------------------------------------------------------------------------
 
 bool reports(const control_state& c, const daemon_state& d, time_point now) {
-    return now - d.seen_at <= c.config.observation_age;
+    return now - d.last_renewal_at <= c.config.max_observation_age;
 }
 
 bool looks_dead(const control_state& c, const server_id& server, time_point now) {
@@ -337,23 +337,23 @@
     return std::any_of(c.daemons.begin(), c.daemons.end(), [&](const auto& d) {
         const auto seen = d.second.observations.find(server);
         return seen != d.second.observations.end() && seen->second.alive &&
-               now - d.second.seen_at <= c.config.observation_age;
+               now - d.second.seen_at <= c.config.max_observation_age;
     });
 }
 
 bool is_leaving(const cluster_state& s, const server_id& server) {
     const auto known = s.servers.find(server);
-    return server_settings(s.current, server).leaving || (known != s.servers.end() && known->second.leaving);
+    return server_settings(s.current_table, server).leaving || (known != s.servers.end() && known->second.leaving);
 }
 
 bool must_leave_primary(control_state& c, const cluster_state& s, const group_record& group, time_point now,
                         control_actions& actions) {
     if (!is_leaving(s, group.primary)) {
-        c.without_successor.erase(group.id);
+        c.groups_without_successor.erase(group.id);
         return false;
     }
-    const auto last = c.switched_at.find(group.id);
-    if (last != c.switched_at.end() && now - last->second < c.config.switchover_pause) {
+    const auto last = c.last_switchover_at.find(group.id);
+    if (last != c.last_switchover_at.end() && now - last->second < c.config.switchover_retry_interval) {
         return false;
     }
     const auto servers = servers_of(s, group.id);
@@ -361,10 +361,10 @@
         return server.id != group.primary && !is_leaving(s, server.id) && looks_alive(c, server.id, now);
     });
     if (succeeded) {
-        c.without_successor.erase(group.id);
-    } else if (c.without_successor.insert(group.id).second) {
-        actions.emplace_back(note_event{
-            .what = "leaving_primary_has_no_successor", .group = group.id, .server = group.primary});
+        c.groups_without_successor.erase(group.id);
+    } else if (c.groups_without_successor.insert(group.id).second) {
+        actions.emplace_back(report_event{
+            .event = "leaving_primary_has_no_successor", .group = group.id, .server = group.primary});
     }
     return succeeded;
 }
@@ -379,13 +379,13 @@
     f.started_at = now;
     f.planned = planned;
     if (!target.value.empty()) {
-        f.wanted = target;
+        f.requested_target = target;
     }
     note(actions, f, planned ? "switchover_started" : "primary_suspected", group.id, group.primary, now);
     failover& begun = c.failovers[group.id];
     begun = std::move(f);
     if (planned) {
-        ask_positions(c, s, group, begun, failover_step::approaching, now, actions);
+        ask_positions(c, s, group, begun, failover_step::catching_up, now, actions);
     } else {
         fence(group, begun, now, actions);
     }
@@ -403,7 +403,7 @@
     if (found == c.failovers.end()) {
         failover f;
         f.started_at = now;
-        f.fence_wanted_at = now;
+        f.fence_proposed_at = now;
         f.planned = is_leaving(s, group.primary); // it is left as carefully as by the leader that began
         found = c.failovers.emplace(group.id, f).first;
     }
@@ -416,7 +416,7 @@
 void advance(control_state& c, const cluster_state& s, const group_record& group, failover& f, time_point now,
              control_actions& actions) {
     switch (f.step) {
-    case failover_step::approaching: approach(c, s, group, f, now, actions); return;
+    case failover_step::catching_up: approach(c, s, group, f, now, actions); return;
     case failover_step::fencing:
     case failover_step::publishing: return; // waits for the log
     case failover_step::revoking:
@@ -427,8 +427,8 @@
         return;
     case failover_step::probing: probe_replicas(c, s, group, f, now, actions); return;
     case failover_step::promoting:
-        if (now - f.step_at >= c.config.promote_wait && f.candidate) {
-            f.failed.insert(*f.candidate);
+        if (now - f.step_started_at >= c.config.promotion_timeout && f.candidate) {
+            f.failed_candidates.insert(*f.candidate);
             ask_replicas(c, s, group, f, now, actions);
         }
         return;
@@ -442,30 +442,30 @@
     if (running == c.failovers.end()) {
         if (was_primary && group.phase == group_phase::serving) {
             begin_failover(c, s, group, false, {}, now, actions);
-            c.failovers[group.id].restarted_at = held;
+            c.failovers[group.id].position_before_restart = held;
         }
         return;
     }
     failover& f = running->second;
-    if (was_primary && f.step == failover_step::approaching) {
+    if (was_primary && f.step == failover_step::catching_up) {
         begin_failover(c, s, group, false, {}, now, actions);
-        f.restarted_at = held;
+        f.position_before_restart = held;
         return;
     }
     f.answers.erase(server);
     if (was_primary) {
-        f.restarted_at = std::max(f.restarted_at, held);
+        f.position_before_restart = std::max(f.position_before_restart, held);
         f.planned = false; // what it holds now no longer tells what it acknowledged
     }
     if (f.step == failover_step::promoting && f.candidate == server) {
-        f.failed.insert(server);
+        f.failed_candidates.insert(server);
         ask_replicas(c, s, group, f, now, actions);
     }
 }
 
 void take_failover_answer(control_state& c, const cluster_state& s, const group_record& group, failover& f,
                           const server_answer& a, time_point now, control_actions& actions) {
-    if (f.step == failover_step::probing || f.step == failover_step::approaching) {
+    if (f.step == failover_step::probing || f.step == failover_step::catching_up) {
         f.answers[a.server] = a;
         advance(c, s, group, f, now, actions);
     } else if (f.step == failover_step::promoting) {
@@ -474,10 +474,10 @@
             c.config.always_promote && a.server == group.primary && a.timeline == group.timeline;
         if (a.answered && a.is_primary && (new_reign || same_reign)) {
             publish(s, group, f, a, now, actions);
-        } else if (a.undecided && s.servers.contains(a.server) && now - f.step_at < c.config.promote_wait) {
-            order_promotion(c, s, group, f, f.ordered_timeline, now, actions);
+        } else if (a.outcome_unknown && s.servers.contains(a.server) && now - f.step_started_at < c.config.promotion_timeout) {
+            order_promotion(c, s, group, f, f.promotion_timeline, now, actions);
         } else {
-            f.failed.insert(a.server);
+            f.failed_candidates.insert(a.server);
             ask_replicas(c, s, group, f, now, actions);
         }
     }
--- a/src/core/home_order.cpp
+++ b/src/core/home_order.cpp
@@ -17,7 +17,7 @@
 std::vector<instance_id> callers_of(const cluster_state& s, const failure_domain& domain) {
     std::vector<instance_id> callers;
     for (const auto& [id, record] : s.instances) {
-        if (record.takes_callers && record.domain == domain) {
+        if (record.accepts_clients && record.domain == domain) {
             callers.push_back(id);
         }
     }
@@ -70,7 +70,7 @@
     const instance_id first = first_place(s, record->second);
     std::vector<std::pair<bool, ranked_caller>> order;
     for (const auto& [id, instance] : s.instances) {
-        if (instance.takes_callers && id != first) {
+        if (instance.accepts_clients && id != first) {
             order.emplace_back(instance.domain != record->second.domain,
                                ranked_caller{.rank = stable_hash(id.value, server.value), .id = id});
         }
--- a/src/core/rendezvous.cpp
+++ b/src/core/rendezvous.cpp
@@ -94,7 +94,7 @@
                                                            const std::set<instance_id>& lost) {
     std::map<failure_domain, std::vector<ranked>> by_domain;
     for (const auto& [id, record] : s.instances) {
-        if (record.takes_callers && !lost.contains(id)) {
+        if (record.accepts_clients && !lost.contains(id)) {
             by_domain[record.domain].push_back({.rank = stable_hash(id.value, server.value), .id = id});
         }
     }
@@ -152,7 +152,7 @@
 
 std::vector<instance_id> reserve_holders(const cluster_state& s, const server_record& server) {
     auto holders = ranked_instances(s, server.domain, server.id);
-    std::erase_if(holders, [&s](const instance_id& id) { return !s.instances.at(id).takes_callers; });
+    std::erase_if(holders, [&s](const instance_id& id) { return !s.instances.at(id).accepts_clients; });
     if (holders.size() > reserves_per_server) {
         holders.resize(reserves_per_server);
     }
--- a/src/core/session.cpp
+++ b/src/core/session.cpp
@@ -218,9 +218,9 @@
     const position_sample& newest = known->second.newest;
     if (newest.timeline == group.timeline) {
         raise_known(s, group.term, newest.position);
-    } else if (newest.timeline < group.timeline && !group.starts.empty()) {
+    } else if (newest.timeline < group.timeline && !group.term_starts.empty()) {
         // The server has not followed a new primary yet: of what it showed, this much has survived.
-        raise(s.floor, s.group, group.term, std::min(newest.position, group.starts.back().position));
+        raise(s.floor, s.group, group.term, std::min(newest.position, group.term_starts.back().position));
     }
     s.seen.reset();
 }
--- a/src/ctl/table_file.cpp
+++ b/src/ctl/table_file.cpp
@@ -45,7 +45,7 @@
         << "consistency = \"" << consistency_names.at(static_cast<std::size_t>(r.consistency)) << "\"\n"
         << "max_staleness_ms = " << to_ms(r.max_staleness) << "\n"
         << "statement_timeout_ms = " << to_ms(r.statement_timeout) << "\n"
-        << "objective_ms = " << to_ms(r.objective) << "\n"
+        << "objective_ms = " << to_ms(r.latency_objective) << "\n"
         << "priority = " << r.priority << "\n"
         << "max_attempts = " << r.max_attempts << "\n"
         << "public = " << (r.is_public ? "true" : "false") << "\n";
@@ -192,7 +192,7 @@
         r.statement_timeout = std::chrono::milliseconds{v};
     } else if (name == "objective_ms") {
         BOOST_LEAF_ASSIGN(const auto v, read_number(file, key, node, 0, longest_ms));
-        r.objective = std::chrono::milliseconds{v};
+        r.latency_objective = std::chrono::milliseconds{v};
     } else if (name == "priority") {
         BOOST_LEAF_ASSIGN(const auto v, read_number(file, key, node, 0, 1000));
         r.priority = static_cast<unsigned>(v);
@@ -348,8 +348,8 @@
 
 std::string format_table(const table_file& t) {
     std::string text = "revision = " + std::to_string(t.revision) + " # of the table that this edits\n" +
-                       "transaction_idle_ms = " + std::to_string(to_ms(t.content.transaction_idle)) + "\n" +
-                       "needs_key = " + (t.content.needs_key ? "true" : "false") + "\n";
+                       "transaction_idle_ms = " + std::to_string(to_ms(t.content.transaction_idle_timeout)) + "\n" +
+                       "needs_key = " + (t.content.requires_key ? "true" : "false") + "\n";
     for (const service_entry& s : t.content.services) {
         text += "\n" + format_service(s);
     }
@@ -390,10 +390,10 @@
         } else if (section == "workspace") {
             BOOST_LEAF_CHECK(read_workspaces(file, section, node, t.content));
         } else if (section == "needs_key") {
-            BOOST_LEAF_ASSIGN(t.content.needs_key, read_flag(file, section, node));
+            BOOST_LEAF_ASSIGN(t.content.requires_key, read_flag(file, section, node));
         } else if (section == "transaction_idle_ms") {
             BOOST_LEAF_ASSIGN(const auto v, read_number(file, section, node, 0, longest_ms));
-            t.content.transaction_idle = std::chrono::milliseconds{v};
+            t.content.transaction_idle_timeout = std::chrono::milliseconds{v};
         } else {
             return problem(file, node, result_code::settings_unknown_key, section, "no such key");
         }
--- a/src/daemon/agent.cpp
+++ b/src/daemon/agent.cpp
@@ -103,8 +103,8 @@
     return !stopping_ && lease_is_live(lease_, now());
 }
 
-const known_lost& agent::lost() const {
-    static const known_lost nobody;
+const lost_instance_set& agent::lost() const {
+    static const lost_instance_set nobody;
     return has_lease() ? lost_ : nobody;
 }
 
@@ -150,7 +150,7 @@
         if (server.domain != config_.domain || !holds_reserve(server)) {
             continue;
         }
-        for (const route_entry& route : cluster_.current.routes) {
+        for (const route_entry& route : cluster_.current_table.routes) {
             const share_key key{.service = route.service, .server = id};
             const auto held = shares.find(key);
             if (route.group == server.group && (held == shares.end() || held->second == 0)) {
@@ -182,12 +182,12 @@
     r.instance = {.id = config_.id,
                   .domain = config_.domain,
                   .address = config_.peer_address,
-                  .takes_callers = takes_callers};
+                  .accepts_clients = takes_callers};
     r.incarnation = incarnation_;
-    r.applied = cluster_.revision;
+    r.applied_revision = cluster_.revision;
     r.last_reply_seq = last_reply_seq_;
     r.stopping = stopping_;
-    r.lost_number = lost_.number;
+    r.lost_version = lost_.version;
     for (const auto& [id, p] : probed_) {
         if (p.answered_at != time_point{} || !p.seen.alive) {
             r.observations.push_back(p.seen);
@@ -262,7 +262,7 @@
     renewal_interval_ = std::clamp(reply.renew_after, usual_interval, usual_interval * 2);
     add_grant(lease_, sent, reply.lease, reply.revision, cluster_.revision);
     note_current(leave_times_, reply.revision, sent);
-    if (leader_of_number(reply.seq) != leader_of_number(last_reply_seq_)) {
+    if (leader_term_of(reply.seq) != leader_term_of(last_reply_seq_)) {
         renew_soon(); // a new leader shares connections out once it knows that all go by its word
     }
     const std::uint64_t term_before = leader_term();
@@ -275,12 +275,12 @@
         // The settings' addresses stay the last resort.
         control_.insert(control_.end(), config_.control_addresses.begin(), config_.control_addresses.end());
     }
-    if (reply.lost && take_news(lost_, *reply.lost, cluster_)) {
+    if (reply.lost && apply_lost_update(lost_, *reply.lost, cluster_)) {
         log_event(severity::info, "lost_instances",
-                  {{"lost", static_cast<std::uint64_t>(lost_.lost.size())}, {"number", lost_.number}});
+                  {{"lost", static_cast<std::uint64_t>(lost_.instances.size())}, {"number", lost_.version}});
     }
     apply_shares(reply);
-    follow_assignment(reply.observe);
+    follow_assignment(reply.servers_to_observe);
     if (reply.revision > cluster_.revision && watch_address_ != leader_) {
         watching_ = false; // the one being watched is behind or silent
         ++watch_generation_;
@@ -384,7 +384,7 @@
                   {{"server", known->first.value},
                    {"start", known->second},
                    {"next_start", server == cluster_.servers.end() ? 0 : server->second.start_number},
-                   {"started", server == cluster_.servers.end() ? 0 : server->second.started}});
+                   {"started", server == cluster_.servers.end() ? 0 : server->second.start_time_ms}});
         forget_start(known->first);
         known = starts_.erase(known);
     }
@@ -479,8 +479,8 @@
     if (known == cluster_.servers.end()) {
         return !a.leaving;
     }
-    const bool same_start = known->second.started == a.record.started;
-    return !(a.leaving || a.gone) || (known->second.leaving && same_start);
+    const bool same_start = known->second.start_time_ms == a.record.start_time_ms;
+    return !(a.leaving || a.stopped) || (known->second.leaving && same_start);
 }
 
 void agent::answer_awaited() {
@@ -507,8 +507,8 @@
                                          [](const auto& s) { return s.second.started != 0; });
     const auto known = cluster_.servers.find(r.id);
     const bool other_group = known != cluster_.servers.end() && known->second.group != r.group &&
-                             known->second.started == r.started;
-    return whole && !other_group && (r.started != 0 || !others_tell);
+                             known->second.start_time_ms == r.start_time_ms;
+    return whole && !other_group && (r.start_time_ms != 0 || !others_tell);
 }
 
 // A number of slots that no server has counts as not told: the server is served as one that tells none.
@@ -534,10 +534,10 @@
         return false;
     }
     heard_announcement& heard = announced_[a.record.id];
-    const bool news = heard.last.leaving != a.leaving || heard.last.gone != a.gone ||
+    const bool news = heard.last.leaving != a.leaving || heard.last.stopped != a.stopped ||
                       heard.last.is_primary != a.is_primary || heard.last.record != a.record;
     const bool overtaken =
-        std::pair(a.record.started, a.sequence) < std::pair(heard.last.record.started, heard.last.sequence);
+        std::pair(a.record.start_time_ms, a.sequence) < std::pair(heard.last.record.start_time_ms, heard.last.sequence);
     if (overtaken) {
         return true;
     }
@@ -548,8 +548,8 @@
                    {"group", a.record.group.value},
                    {"primary", a.is_primary},
                    {"leaving", a.leaving},
-                   {"gone", a.gone},
-                   {"started", a.record.started},
+                   {"gone", a.stopped},
+                   {"started", a.record.start_time_ms},
                    {"slots", static_cast<std::uint64_t>(a.record.slots)},
                    {"sequence", a.sequence}});
         renew_soon();
@@ -598,7 +598,7 @@
     const time_point at = now();
     const bool lease = has_lease();
     for (const server_record& server : servers_of(cluster_, group)) {
-        const server_entry entry = server_settings(cluster_.current, server.id);
+        const server_entry entry = server_settings(cluster_.current_table, server.id);
         const server_health& health = health_[server.id];
         server_view s;
         s.id = server.id;
--- a/src/daemon/agent.hpp
+++ b/src/daemon/agent.hpp
@@ -53,14 +53,14 @@
     [[nodiscard]] bool has_lease() const;
     // Control has no lease of this instance any more, so hardly anybody reaches it. Only while this one has a
     // lease: without control it goes by what it finds out itself.
-    [[nodiscard]] bool is_lost(const instance_id& id) const { return lost().lost.contains(id); }
-    [[nodiscard]] const known_lost& lost() const;
+    [[nodiscard]] bool is_lost(const instance_id& id) const { return lost().instances.contains(id); }
+    [[nodiscard]] const lost_instance_set& lost() const;
     // Renewed within the last half of the lease: it will hardly be lost in the next moment.
     [[nodiscard]] bool is_in_touch() const;
     // Peer listener of the control instance that leads, as far as is known here.
     [[nodiscard]] const std::string& leader() const { return leader_; }
     // Its term, as far as it has answered a renewal.
-    [[nodiscard]] std::uint64_t leader_term() const { return leader_of_number(last_reply_seq_); }
+    [[nodiscard]] std::uint64_t leader_term() const { return leader_term_of(last_reply_seq_); }
     // Another leader has answered a renewal; called before it is told so.
     std::function<void()> on_leader;
     [[nodiscard]] std::uint64_t incarnation() const { return incarnation_; }
@@ -216,7 +216,7 @@
     bool asked_for_share_ = false;    // with the last renewal, before its time
     time_point next_share_request_{}; // no renewal before it for want of a connection
     std::uint64_t last_reply_seq_ = 0;
-    known_lost lost_;
+    lost_instance_set lost_;
     // watching
     bool watching_ = false;
     std::uint64_t watch_generation_ = 0;
--- a/src/daemon/client_session.cpp
+++ b/src/daemon/client_session.cpp
@@ -282,7 +282,7 @@
 
 // A route, where the table has one of the caller's database's name, says what its requests are owed.
 void client_session::follow_route(session_state& state) const {
-    const route_entry* route = find_route(owner_.cluster.cluster().current, state.group.value);
+    const route_entry* route = find_route(owner_.cluster.cluster().current_table, state.group.value);
     if (route == nullptr) {
         return;
     }
@@ -342,14 +342,14 @@
                       .fatal = true});
         return;
     }
-    if (owner_.cluster.cluster().current.needs_key) {
+    if (owner_.cluster.cluster().current_table.requires_key) {
         fail_session({.code = result_code::unknown_key,
                       .run = run_state::not_run,
                       .detail = "keys of workspaces are not taken over this protocol yet",
                       .fatal = true});
         return;
     }
-    const service_entry* service = find_service(owner_.cluster.cluster().current, state.service);
+    const service_entry* service = find_service(owner_.cluster.cluster().current_table, state.service);
     if (service == nullptr) {
         const bool known = owner_.cluster.has_confirmed_state();
         fail_session({.code = known ? result_code::unknown_service : result_code::no_lease,
--- a/src/daemon/control_node.cpp
+++ b/src/daemon/control_node.cpp
@@ -295,9 +295,9 @@
             start_probe(probe->operation, probe->server);
         } else if (const auto* promote = std::get_if<promote_server>(&action)) {
             start_promotion(*promote);
-        } else if (const auto* note = std::get_if<note_event>(&action)) {
+        } else if (const auto* note = std::get_if<report_event>(&action)) {
             const auto since = std::chrono::duration_cast<std::chrono::microseconds>(note->since_suspected);
-            log_event(severity::warning, note->what,
+            log_event(severity::warning, note->event,
                       {{"group", note->group.value},
                        {"server", note->server.value},
                        {"term", core_.consensus.hard.term},
@@ -311,7 +311,7 @@
     operations_[number] = {.number = number,
                            .server = server,
                            .wait_for_lead = false,
-                           .deadline = now() + core_.control.config.probe_wait,
+                           .deadline = now() + core_.control.config.probe_timeout,
                            .connection = nullptr};
     ask_role(number);
 }
@@ -321,7 +321,7 @@
     operations_[number] = {.number = number,
                            .server = order.server,
                            .wait_for_lead = true,
-                           .deadline = now() + core_.control.config.promote_wait,
+                           .deadline = now() + core_.control.config.promotion_timeout,
                            .connection = nullptr};
     const promotion_order sent{.server = order.server, .timeline = order.timeline, .token = order.token};
     driver_.promote(sent, [this, number, token = order.token](promotion_answer answer) {
@@ -338,7 +338,7 @@
         const bool undecided = answer == promotion_answer::unknown && driver_.promotes_by_token;
         if (undecided || answer == promotion_answer::refused) {
             finish_operation(
-                {.operation = number, .server = found->second.server.id, .undecided = undecided});
+                {.operation = number, .server = found->second.server.id, .outcome_unknown = undecided});
             return;
         }
         ask_role(number); // whatever was answered, its role tells
@@ -661,14 +661,14 @@
     reply.set_leader(config_.id.value);
     reply.set_revision(core_.cluster.revision);
     reply.set_table_revision(core_.cluster.table_revision);
-    to_wire(core_.cluster.current, *reply.mutable_current());
+    to_wire(core_.cluster.current_table, *reply.mutable_current());
     for (const auto& [id, group] : core_.cluster.groups) {
         to_wire(group, *reply.add_groups());
     }
     for (const auto& [id, server] : core_.cluster.servers) {
         auto* m = reply.add_servers();
         to_wire(server, *m->mutable_record());
-        const server_entry entry = server_settings(core_.cluster.current, id);
+        const server_entry entry = server_settings(core_.cluster.current_table, id);
         m->set_weight(entry.weight);
         m->set_leaving(entry.leaving || server.leaving);
         for (const auto& [daemon, d] : core_.control.daemons) {
@@ -686,13 +686,13 @@
         m->set_id(id.value);
         m->set_domain(d.domain.value);
         m->set_lease(has_live_lease(d, now()));
-        m->set_confirmed(d.confirmed);
+        m->set_confirmed(d.confirmed_revision);
         for (const auto& [key, claim] : d.claims) {
             auto* s = reply.add_services();
             s->set_service(key.service.value);
             s->set_server(key.server.value);
             s->set_held(held_share(d, key));
-            const service_entry* entry = find_service(core_.cluster.current, key.service);
+            const service_entry* entry = find_service(core_.cluster.current_table, key.service);
             s->set_limit(entry == nullptr ? 0 : entry->max_connections);
         }
     }
@@ -706,12 +706,12 @@
     }
     constexpr std::size_t shown_changes = 20;
     const std::size_t first =
-        core_.cluster.changes.size() > shown_changes ? core_.cluster.changes.size() - shown_changes : 0;
-    for (std::size_t i = first; i < core_.cluster.changes.size(); ++i) {
+        core_.cluster.recorded_changes.size() > shown_changes ? core_.cluster.recorded_changes.size() - shown_changes : 0;
+    for (std::size_t i = first; i < core_.cluster.recorded_changes.size(); ++i) {
         auto* m = reply.add_changes();
-        m->set_change_id(core_.cluster.changes[i].change_id);
-        m->set_code(static_cast<std::uint32_t>(core_.cluster.changes[i].outcome.code));
-        m->set_table_revision(core_.cluster.changes[i].outcome.table_revision);
+        m->set_change_id(core_.cluster.recorded_changes[i].change_id);
+        m->set_code(static_cast<std::uint32_t>(core_.cluster.recorded_changes[i].outcome.code));
+        m->set_table_revision(core_.cluster.recorded_changes[i].outcome.table_revision);
     }
     return reply.SerializeAsString();
 }
--- a/src/daemon/daemon.cpp
+++ b/src/daemon/daemon.cpp
@@ -185,7 +185,7 @@
 
 bool daemon::is_ready() const {
     return !stopping_ && agent_.is_in_touch() && agent_.has_confirmed_state() &&
-           !agent_.cluster().current.services.empty();
+           !agent_.cluster().current_table.services.empty();
 }
 
 bool daemon::answer_balancer() {
--- a/src/daemon/loans.cpp
+++ b/src/daemon/loans.cpp
@@ -392,14 +392,14 @@
 
 const std::vector<instance_id>& connection_loans::homes_of(const share_key& key) {
     const cluster_state& s = cluster_.cluster();
-    const known_lost& lost = cluster_.lost();
+    const lost_instance_set& lost = cluster_.lost();
     if (have_servers_changed()) {
         homes_.clear();
     }
     if (homes_instances_revision_ != s.instances_revision || homes_table_revision_ != s.table_revision ||
-        homes_lost_number_ != lost.number) {
+        homes_lost_number_ != lost.version) {
         homes_.clear();
-        homes_lost_number_ = lost.number;
+        homes_lost_number_ = lost.version;
         homes_instances_revision_ = s.instances_revision;
         homes_table_revision_ = s.table_revision;
     }
@@ -407,16 +407,16 @@
     if (known != homes_.end()) {
         return known->second;
     }
-    const service_entry* service = find_service(s.current, key.service);
+    const service_entry* service = find_service(s.current_table, key.service);
     std::vector<instance_id> homes;
     if (service != nullptr) {
         const unsigned connections =
             connections_for_requests(service->max_connections, config_.kept_connections);
         const auto server = s.servers.find(key.server);
-        const bool by_workspace = s.current.needs_key && server != s.servers.end();
+        const bool by_workspace = s.current_table.requires_key && server != s.servers.end();
         homes = orders_statements() ? order_homes(s, key.server, connections)
-                : by_workspace      ? workspace_homes(s, server->second, connections, lost.lost)
-                                    : home_instances(s, key.server, connections, lost.lost);
+                : by_workspace      ? workspace_homes(s, server->second, connections, lost.instances)
+                                    : home_instances(s, key.server, connections, lost.instances);
     }
     return homes_.emplace(key, std::move(homes)).first->second;
 }
@@ -444,7 +444,7 @@
     std::vector<instance_id> lenders = homes_of(key);
     if (lenders.empty()) {
         for (const auto& [id, record] : cluster_.cluster().instances) {
-            if (record.takes_callers) {
+            if (record.accepts_clients) {
                 lenders.push_back(id);
             }
         }
@@ -552,7 +552,7 @@
 void connection_loans::begin_loan(const wire::loan_request& request, const http_respond& respond) {
     const share_key key{.service = {request.service()}, .server = {request.server()}};
     const auto server = cluster_.cluster().servers.find(key.server);
-    const service_entry* service = find_service(cluster_.cluster().current, key.service);
+    const service_entry* service = find_service(cluster_.cluster().current_table, key.service);
     const bool known = server != cluster_.cluster().servers.end() && service != nullptr;
     const bool turned_away = known && pools_.is_turned_away(key);
     if (turned_away) {
@@ -595,7 +595,7 @@
          .objective = from_us(request.objective_us()),
          .workspace = {request.workspace()},
          .any_workspace = request.any_workspace(),
-         .weight = weight_of(cluster_.cluster().current, {request.workspace()})},
+         .weight = weight_of(cluster_.cluster().current_table, {request.workspace()})},
         [this, number, request, respond](const pool_answer& answer) {
             on_connection(number, request, respond, answer);
         });
--- a/src/daemon/loans_ordering.cpp
+++ b/src/daemon/loans_ordering.cpp
@@ -60,7 +60,7 @@
 
 // Statements that the server runs at once; 0: not known.
 unsigned connection_loans::slots_of(const share_key& key, order_place& place) {
-    const service_entry* service = find_service(cluster_.cluster().current, key.service);
+    const service_entry* service = find_service(cluster_.cluster().current_table, key.service);
     const auto server = cluster_.cluster().servers.find(key.server);
     const bool told = server != cluster_.cluster().servers.end() && server->second.slots > 0;
     const unsigned slots = told ? server->second.slots : config_.slots;
@@ -106,7 +106,7 @@
                    {"why", why}});
         place.is_ordering = orders;
     }
-    const service_entry* service = find_service(cluster_.cluster().current, key.service);
+    const service_entry* service = find_service(cluster_.cluster().current_table, key.service);
     const unsigned connections = service == nullptr ? 0 : service->max_connections;
     const std::size_t keepers = std::clamp<std::size_t>(connections / connections_per_standby, 1, standbys);
     const auto kept = homes.begin() + static_cast<std::ptrdiff_t>(std::min(homes.size(), keepers + 1));
--- a/src/daemon/rate_limiter.cpp
+++ b/src/daemon/rate_limiter.cpp
@@ -48,7 +48,7 @@
 }
 
 void rate_limiter::admit(const workspace_id& workspace, time_point until, rate_callback done) {
-    const workspace_entry* entry = find_workspace(cluster_.cluster().current, workspace);
+    const workspace_entry* entry = find_workspace(cluster_.cluster().current_table, workspace);
     if (entry == nullptr || entry->rate == 0) {
         done({});
         return;
--- a/src/daemon/request_path.cpp
+++ b/src/daemon/request_path.cpp
@@ -169,7 +169,7 @@
         return;
     }
     const group_view view = owner_.cluster.view(state.group, state.service);
-    if (const service_entry* entry = find_service(cluster.current, state.service)) {
+    if (const service_entry* entry = find_service(cluster.current_table, state.service)) {
         service = *entry;
     }
     resolve_seen(state, view.record, *view.positions);
@@ -349,7 +349,7 @@
                               .answer_by = times.answer_by,
                               .objective = r.what.patience,
                               .workspace = state.workspace,
-                              .weight = weight_of(owner_.cluster.cluster().current, state.workspace)},
+                              .weight = weight_of(owner_.cluster.cluster().current_table, state.workspace)},
                              [self, serial, key](const pool_answer& answer) {
                                  const bool awaited = self->active_ && self->active_->serial == serial &&
                                                       self->active_->step == request_step::queued &&
--- a/src/daemon/server_loads.cpp
+++ b/src/daemon/server_loads.cpp
@@ -139,7 +139,7 @@
     if (own != own_.end()) {
         return own->second.key;
     }
-    const auto& services = cluster_.cluster().current.services;
+    const auto& services = cluster_.cluster().current_table.services;
     return {.service = services.empty() ? service_id{} : services.front().id, .server = server};
 }
 
--- a/src/io/codec.cpp
+++ b/src/io/codec.cpp
@@ -51,12 +51,12 @@
                             .consistency = to_consistency(r.consistency()),
                             .max_staleness = from_ms(r.max_staleness_ms()),
                             .statement_timeout = from_ms(r.statement_timeout_ms()),
-                            .objective = from_ms(r.objective_ms()),
+                            .latency_objective = from_ms(r.objective_ms()),
                             .priority = r.priority(),
                             .max_attempts = r.max_attempts(),
                             .is_public = r.is_public()});
     }
-    v.needs_key = m.needs_key();
+    v.requires_key = m.needs_key();
     for (const auto& w : m.workspaces()) {
         v.workspaces.push_back(
             {.id = {w.id()}, .priority = w.priority(), .rate = w.rate(), .burst = w.burst()});
@@ -64,7 +64,7 @@
     for (const auto& k : m.keys()) {
         v.keys.push_back({.digest = k.digest(), .workspace = {k.workspace()}});
     }
-    v.transaction_idle = from_ms(m.transaction_idle_ms());
+    v.transaction_idle_timeout = from_ms(m.transaction_idle_ms());
     return v;
 }
 
@@ -92,12 +92,12 @@
         e->set_consistency(static_cast<std::uint32_t>(r.consistency));
         e->set_max_staleness_ms(to_ms(r.max_staleness));
         e->set_statement_timeout_ms(to_ms(r.statement_timeout));
-        e->set_objective_ms(to_ms(r.objective));
+        e->set_objective_ms(to_ms(r.latency_objective));
         e->set_priority(r.priority);
         e->set_max_attempts(r.max_attempts);
         e->set_is_public(r.is_public);
     }
-    m.set_needs_key(v.needs_key);
+    m.set_needs_key(v.requires_key);
     for (const workspace_entry& w : v.workspaces) {
         auto* e = m.add_workspaces();
         e->set_id(w.id.value);
@@ -110,7 +110,7 @@
         e->set_digest(k.digest);
         e->set_workspace(k.workspace.value);
     }
-    m.set_transaction_idle_ms(to_ms(v.transaction_idle));
+    m.set_transaction_idle_ms(to_ms(v.transaction_idle_timeout));
 }
 
 edit_table from_wire(const wire::edit_table& m) {
@@ -140,7 +140,7 @@
             .port = static_cast<std::uint16_t>(m.port()),
             .domain = {m.domain()},
             .leaving = m.leaving(),
-            .started = m.started(),
+            .start_time_ms = m.started(),
             .start_number = m.start_number(),
             .slots = m.slots()};
 }
@@ -152,7 +152,7 @@
     m.set_port(v.port);
     m.set_domain(v.domain.value);
     m.set_leaving(v.leaving);
-    m.set_started(v.started);
+    m.set_started(v.start_time_ms);
     m.set_start_number(v.start_number);
     m.set_slots(v.slots);
 }
@@ -162,11 +162,11 @@
     v.id = {m.id()};
     v.term = m.term();
     v.primary = {m.primary()};
-    v.primary_start = m.primary_start();
+    v.primary_start_number = m.primary_start();
     v.phase = m.phase() == 0 ? group_phase::serving : group_phase::fencing;
     v.timeline = m.timeline();
     for (const auto& start : m.starts()) {
-        v.starts.push_back({.term = start.term(), .position = start.position()});
+        v.term_starts.push_back({.term = start.term(), .position = start.position()});
     }
     return v;
 }
@@ -175,10 +175,10 @@
     m.set_id(v.id.value);
     m.set_term(v.term);
     m.set_primary(v.primary.value);
-    m.set_primary_start(v.primary_start);
+    m.set_primary_start(v.primary_start_number);
     m.set_phase(static_cast<std::uint32_t>(v.phase));
     m.set_timeline(v.timeline);
-    for (const term_start& start : v.starts) {
+    for (const term_start& start : v.term_starts) {
         auto* s = m.add_starts();
         s->set_term(start.term);
         s->set_position(start.position);
@@ -187,14 +187,14 @@
 
 instance_record from_wire(const wire::instance_record& m) {
     return {
-        .id = {m.id()}, .domain = {m.domain()}, .address = m.address(), .takes_callers = m.takes_callers()};
+        .id = {m.id()}, .domain = {m.domain()}, .address = m.address(), .accepts_clients = m.takes_callers()};
 }
 
 void to_wire(const instance_record& v, wire::instance_record& m) {
     m.set_id(v.id.value);
     m.set_domain(v.domain.value);
     m.set_address(v.address);
-    m.set_takes_callers(v.takes_callers);
+    m.set_takes_callers(v.accepts_clients);
 }
 
 //-----------------------------------------------------------------------------
@@ -206,7 +206,7 @@
     v.revision = m.revision();
     v.table_revision = m.table_revision();
     v.instances_revision = m.instances_revision();
-    v.current = from_wire(m.current());
+    v.current_table = from_wire(m.current());
     v.table_version = m.table_version();
     v.document = m.document();
     for (const auto& g : m.groups()) {
@@ -219,7 +219,7 @@
         v.instances[{i.id()}] = from_wire(i);
     }
     for (const auto& c : m.changes()) {
-        v.changes.push_back({.change_id = c.change_id(),
+        v.recorded_changes.push_back({.change_id = c.change_id(),
                              .outcome = {.code = to_code(c.code()),
                                          .table_revision = c.table_revision(),
                                          .revision = c.revision()}});
@@ -231,7 +231,7 @@
     m.set_revision(v.revision);
     m.set_table_revision(v.table_revision);
     m.set_instances_revision(v.instances_revision);
-    to_wire(v.current, *m.mutable_current());
+    to_wire(v.current_table, *m.mutable_current());
     m.set_table_version(v.table_version);
     m.set_document(v.document);
     for (const auto& [id, g] : v.groups) {
@@ -243,7 +243,7 @@
     for (const auto& [id, i] : v.instances) {
         to_wire(i, *m.add_instances());
     }
-    for (const remembered_change& c : v.changes) {
+    for (const recorded_change& c : v.recorded_changes) {
         auto* e = m.add_changes();
         e->set_change_id(c.change_id);
         e->set_code(static_cast<std::uint32_t>(c.outcome.code));
@@ -315,7 +315,7 @@
             .timeline = m.timeline(),
             .position = m.position(),
             .leaving = m.leaving(),
-            .gone = m.gone(),
+            .stopped = m.gone(),
             .sequence = m.sequence()};
 }
 
@@ -325,7 +325,7 @@
     m.set_timeline(v.timeline);
     m.set_position(v.position);
     m.set_leaving(v.leaving);
-    m.set_gone(v.gone);
+    m.set_gone(v.stopped);
     m.set_sequence(v.sequence);
 }
 
@@ -333,14 +333,14 @@
     renewal v;
     v.instance = from_wire(m.instance());
     v.incarnation = m.incarnation();
-    v.applied = m.applied();
+    v.applied_revision = m.applied();
     v.last_reply_seq = m.last_reply_seq();
     v.stopping = m.stopping();
-    v.lost_number = m.lost_number();
+    v.lost_version = m.lost_number();
     for (const auto& o : m.observations()) {
         v.observations.push_back({.server = {o.server()},
                                   .alive = o.alive(),
-                                  .refused = o.refused(),
+                                  .connection_refused = o.refused(),
                                   .is_primary = o.is_primary(),
                                   .timeline = o.timeline(),
                                   .position = o.position()});
@@ -359,15 +359,15 @@
 void to_wire(const renewal& v, wire::renewal& m) {
     to_wire(v.instance, *m.mutable_instance());
     m.set_incarnation(v.incarnation);
-    m.set_applied(v.applied);
+    m.set_applied(v.applied_revision);
     m.set_last_reply_seq(v.last_reply_seq);
     m.set_stopping(v.stopping);
-    m.set_lost_number(v.lost_number);
+    m.set_lost_number(v.lost_version);
     for (const server_observation& o : v.observations) {
         auto* e = m.add_observations();
         e->set_server(o.server.value);
         e->set_alive(o.alive);
-        e->set_refused(o.refused);
+        e->set_refused(o.connection_refused);
         e->set_is_primary(o.is_primary);
         e->set_timeline(o.timeline);
         e->set_position(o.position);
@@ -395,11 +395,11 @@
             {.key = {.service = {s.service()}, .server = {s.server()}}, .connections = s.connections()});
     }
     for (const auto& id : m.observe()) {
-        v.observe.push_back({id});
+        v.servers_to_observe.push_back({id});
     }
     v.control_addresses.assign(m.control_addresses().begin(), m.control_addresses().end());
     if (m.has_lost()) {
-        v.lost = lost_news{.number = m.lost().number(),
+        v.lost = lost_update{.version = m.lost().number(),
                            .instances_revision = m.lost().instances_revision(),
                            .bits = m.lost().bits()};
     }
@@ -418,14 +418,14 @@
         e->set_server(s.key.server.value);
         e->set_connections(s.connections);
     }
-    for (const server_id& id : v.observe) {
+    for (const server_id& id : v.servers_to_observe) {
         m.add_observe(id.value);
     }
     for (const std::string& address : v.control_addresses) {
         m.add_control_addresses(address);
     }
     if (v.lost) {
-        m.mutable_lost()->set_number(v.lost->number);
+        m.mutable_lost()->set_number(v.lost->version);
         m.mutable_lost()->set_instances_revision(v.lost->instances_revision);
         m.mutable_lost()->set_bits(v.lost->bits);
     }
--- a/src/io/pg_driver.cpp
+++ b/src/io/pg_driver.cpp
@@ -69,12 +69,12 @@
     backend_sink sink;
     sink.keep_first_row = true;
     sink.on_done = [connection, server, done](const backend_outcome& outcome) {
-        if (outcome.answered && !outcome.failed && outcome.first_value == std::to_string(server.started)) {
+        if (outcome.answered && !outcome.failed && outcome.first_value == std::to_string(server.start_time_ms)) {
             done(connect_result::connected);
             return;
         }
         log_event(severity::warning, "server_of_another_start",
-                  {{"server", server.id.value}, {"started", server.started}, {"found", outcome.first_value}});
+                  {{"server", server.id.value}, {"started", server.start_time_ms}, {"found", outcome.first_value}});
         connection->close();
         done(connect_result::failed);
     };
@@ -86,7 +86,7 @@
                                                             const server_record& server,
                                                             const std::string& user) {
     auto connection = make_pg_connection(io, make_target(config, server, user));
-    if (server.started == 0) {
+    if (server.start_time_ms == 0) {
         return connection;
     }
     connection->connect = [open = connection->connect, weak = std::weak_ptr(connection),
--- a/tests/balance_test.cpp
+++ b/tests/balance_test.cpp
@@ -61,7 +61,7 @@
 public:
     modelled_group(std::vector<conduct_of> replicas, double reads_a_second, duration age)
         : rate_(reads_a_second), age_(age), books_(choosers) {
-        view_.record = {.id = {"g"}, .term = 1, .primary = {"p"}, .timeline = 1, .starts = {{.term = 1}}};
+        view_.record = {.id = {"g"}, .term = 1, .primary = {"p"}, .timeline = 1, .term_starts = {{.term = 1}}};
         view_.positions = &positions_;
         view_.servers_enforce_floor = true;
         session_.group = {"g"};
@@ -199,7 +199,7 @@
     std::mt19937_64 random{1};
 
     told_group() {
-        view.record = {.id = {"g"}, .term = 1, .primary = {"p"}, .timeline = 1, .starts = {{.term = 1}}};
+        view.record = {.id = {"g"}, .term = 1, .primary = {"p"}, .timeline = 1, .term_starts = {{.term = 1}}};
         view.positions = &positions;
         view.servers_enforce_floor = true;
         session.group = {"g"};
--- a/tests/cluster_model.cpp
+++ b/tests/cluster_model.cpp
@@ -124,10 +124,10 @@
     for (const control_action& action : out.actions) {
         if (const auto* probe = std::get_if<probe_server>(&action)) {
             server_operation(i, probe->operation, probe->server.id, 0);
-        } else if (const auto* note = std::get_if<note_event>(&action)) {
+        } else if (const auto* note = std::get_if<report_event>(&action)) {
             planned = note->planned;
-            members_removed += note->what == "control_member_removed" ? 1 : 0;
-            silent_members_removed += note->what.starts_with("control_silent_") ? 1 : 0;
+            members_removed += note->event == "control_member_removed" ? 1 : 0;
+            silent_members_removed += note->event.starts_with("control_silent_") ? 1 : 0;
         } else if (const auto* promote = std::get_if<promote_server>(&action)) {
             ++failovers;
             planned_switches += planned ? 1 : 0;
@@ -323,9 +323,9 @@
 
 renewal cluster_model::make_renewal(const model_daemon& d) const {
     renewal r;
-    r.instance = {.id = d.id, .domain = d.domain, .address = d.id.value, .takes_callers = true};
+    r.instance = {.id = d.id, .domain = d.domain, .address = d.id.value, .accepts_clients = true};
     r.incarnation = d.incarnation;
-    r.applied = d.copy.revision;
+    r.applied_revision = d.copy.revision;
     r.last_reply_seq = d.last_seq;
     const unsigned in_effect = broken_.share_before_confirmed ? d.share : std::max(d.share, d.open);
     r.claims = {{.key = the_key, .in_effect = in_effect, .wanted = d.wanted}};
@@ -601,7 +601,7 @@
     if (over && !leaving->is_primary && runs(*leaving)) {
         leaving->leaves = false;
         leaving->leave_acked_at.reset();
-        leaving->record.started += 1'000;
+        leaving->record.start_time_ms += 1'000;
         leaving->writes.clear(); // it holds nothing of before
         leaving->timeline = 1;
     }
@@ -612,7 +612,7 @@
     for (model_server& s : servers_) {
         const auto known = d.copy.servers.find(s.record.id);
         const bool agreed = known != d.copy.servers.end() && known->second.leaving &&
-                            known->second.started == s.record.started;
+                            known->second.start_time_ms == s.record.start_time_ms;
         const bool answers =
             lease_is_live(d.lease, clock_of(d)) && (agreed || broken_.leaving_acked_from_memory);
         if (s.leaves && !s.leave_acked_at && answers) {
@@ -630,7 +630,7 @@
             continue;
         }
         const auto known = agreed_.servers.find(s.record.id);
-        const bool same_start = known != agreed_.servers.end() && known->second.started == s.record.started;
+        const bool same_start = known != agreed_.servers.end() && known->second.start_time_ms == s.record.start_time_ms;
         // What the model has gathered of the log may be behind: whoever committed last may be down.
         const bool gathered = agreed_.revision >= s.leave_acked_by;
         if (gathered && same_start && !known->second.leaving) {
@@ -791,7 +791,7 @@
                               .host = "127.0.0.1",
                               .port = static_cast<std::uint16_t>(1 + i),
                               .domain = domain_of(i),
-                              .started = 1'000};
+                              .start_time_ms = 1'000};
         servers_[i].is_primary = i == 0;
     }
 }
--- a/tests/control_test.cpp
+++ b/tests/control_test.cpp
@@ -26,8 +26,8 @@
     control_state control;
     cluster_state cluster;
     time_point now{std::chrono::seconds{100}};
-    std::vector<control_action> open; // probes and promotions that nobody has answered
-    std::vector<std::string> notes;
+    std::vector<control_action> pending_actions; // probes and promotions that nobody has answered
+    std::vector<std::string> events;
     std::map<instance_id, std::uint64_t> seqs;
 
     control_site() {
@@ -35,22 +35,22 @@
         now += std::chrono::seconds{3}; // the leases of an earlier leader have run out
     }
 
-    void take(control_actions& actions) {
+    void execute(control_actions& actions) {
         for (const control_action& a : actions) {
             if (const auto* proposal = std::get_if<propose_command>(&a)) {
                 apply(cluster, cluster.revision + 1, proposal->proposed);
                 control_actions more;
                 on_applied(control, cluster, now, more);
-                take(more);
-            } else if (const auto* note = std::get_if<note_event>(&a)) {
-                notes.push_back(note->what);
+                execute(more);
+            } else if (const auto* note = std::get_if<report_event>(&a)) {
+                events.push_back(note->event);
             } else {
-                open.push_back(a);
+                pending_actions.push_back(a);
             }
         }
     }
 
-    bool takes_callers = true; // of whoever renews next
+    bool accepts_clients = true; // of whoever renews next
     std::uint64_t incarnation = 1;
     renewal_reply renew(const std::string& daemon, const std::vector<server_announcement>& announced = {},
                         const std::vector<server_observation>& seen = {},
@@ -59,9 +59,9 @@
         r.instance = {.id = {daemon},
                       .domain = {"d-" + daemon},
                       .address = "127.0.0.1:1",
-                      .takes_callers = takes_callers};
+                      .accepts_clients = accepts_clients};
         r.incarnation = incarnation;
-        r.applied = cluster.revision;
+        r.applied_revision = cluster.revision;
         r.last_reply_seq = seqs[r.instance.id];
         r.announcements = announced;
         r.observations = seen;
@@ -69,38 +69,38 @@
         control_actions actions;
         renewal_reply reply = on_renewal(control, cluster, r, now, actions);
         seqs[r.instance.id] = reply.seq;
-        take(actions);
+        execute(actions);
         return reply;
     }
 
     void tick() {
         control_actions actions;
         on_tick(control, cluster, now, actions);
-        take(actions);
+        execute(actions);
     }
 
     void answer(const server_answer& a) {
         control_actions actions;
         on_server_answer(control, cluster, a, now, actions);
-        take(actions);
+        execute(actions);
     }
 
     // The only open action of this kind, taken off the list.
-    template <typename kind> std::optional<kind> take_open() {
-        const auto found = std::find_if(open.begin(), open.end(), [](const control_action& a) {
+    template <typename kind> std::optional<kind> take_pending() {
+        const auto found = std::find_if(pending_actions.begin(), pending_actions.end(), [](const control_action& a) {
             return std::holds_alternative<kind>(a);
         });
-        if (found == open.end()) {
+        if (found == pending_actions.end()) {
             return std::nullopt;
         }
         const kind taken = std::get<kind>(*found);
-        open.erase(found);
+        pending_actions.erase(found);
         return taken;
     }
 
     // Answers every open probe as a healthy group would: the primary leads, all hold `position`.
     void answer_probes(const server_id& primary, log_position position) {
-        while (const auto probe = take_open<probe_server>()) {
+        while (const auto probe = take_pending<probe_server>()) {
             answer({.operation = probe->operation,
                     .server = probe->server.id,
                     .answered = true,
@@ -154,11 +154,11 @@
 TEST(founding, a_primary_that_does_not_tell_its_timeline_is_asked_for_it) {
     control_site s;
     s.renew("x", {announce("s1", true, 1)});
-    const auto probe = s.take_open<probe_server>();
+    const auto probe = s.take_pending<probe_server>();
     ASSERT_TRUE(probe.has_value());
     EXPECT_FALSE(s.cluster.groups.contains({"g"}));
     s.renew("x", {announce("s1", true, 2)});
-    EXPECT_FALSE(s.take_open<probe_server>().has_value()) << "one question at a time";
+    EXPECT_FALSE(s.take_pending<probe_server>().has_value()) << "one question at a time";
     s.answer({.operation = probe->operation,
               .server = {"s1"},
               .answered = true,
@@ -172,10 +172,10 @@
 TEST(founding, a_question_without_an_answer_is_asked_again) {
     control_site s;
     s.renew("x", {announce("s1", true, 1)});
-    s.answer({.operation = s.take_open<probe_server>()->operation, .server = {"s1"}});
+    s.answer({.operation = s.take_pending<probe_server>()->operation, .server = {"s1"}});
     EXPECT_FALSE(s.cluster.groups.contains({"g"}));
     s.renew("x", {announce("s1", true, 2)});
-    EXPECT_TRUE(s.take_open<probe_server>().has_value());
+    EXPECT_TRUE(s.take_pending<probe_server>().has_value());
 }
 
 //-----------------------------------------------------------------------------
@@ -196,15 +196,15 @@
     EXPECT_EQ(apply(s, 1, make_versioned(7, 5)).code, result_code::ok);
     EXPECT_EQ(apply(s, 2, make_versioned(3, 6)).code, result_code::ok) << "taken as done";
     EXPECT_EQ(apply(s, 3, make_versioned(7, 8)).code, result_code::ok) << "other content, same version";
-    EXPECT_EQ(s.current.services[0].max_connections, 5U);
+    EXPECT_EQ(s.current_table.services[0].max_connections, 5U);
     EXPECT_EQ(s.document, "document 7");
     EXPECT_EQ(apply(s, 4, make_versioned(9, 0)).code, result_code::table_invalid);
     EXPECT_EQ(s.table_version, 7U);
-    EXPECT_TRUE(s.changes.empty()) << "versions need no memory of ids";
+    EXPECT_TRUE(s.recorded_changes.empty()) << "versions need no memory of ids";
 }
 
 // A control instance that founded a cluster alone.
-struct lone_control {
+struct single_control {
     std::mt19937_64 random{1};
     time_point now{std::chrono::seconds{1}};
     control_core core =
@@ -214,7 +214,7 @@
                            .decode_state = decode_state},
                           {.id = 7, .name = "a", .address = "127.0.0.1:1"}, {}, {}, {}, now, random);
 
-    lone_control() {
+    single_control() {
         EXPECT_TRUE(bootstrap(core, now, random));
         settle();
     }
@@ -234,7 +234,7 @@
 
 // A daemon that starts anew fetches the state over a small link; its history took 2 s (measured).
 TEST(watching, a_daemon_that_starts_anew_gets_the_state_and_not_its_history) {
-    lone_control c;
+    single_control c;
     edit_table large = make_versioned(1, 5);
     for (int i = 0; i < 200; ++i) {
         large.next.routes.push_back({.database = "database" + std::to_string(1000 + i),
@@ -254,7 +254,7 @@
     EXPECT_LT(anew.size(), next.size() + 1000) << "about one table";
     wire::watch_reply all;
     ASSERT_TRUE(all.ParseFromString(anew));
-    EXPECT_EQ(from_wire(all.full()).current, c.core.cluster.current);
+    EXPECT_EQ(from_wire(all.full()).current_table, c.core.cluster.current_table);
     EXPECT_EQ(from_wire(all.full()).revision, c.core.cluster.revision);
     wire::watch_reply last;
     ASSERT_TRUE(last.ParseFromString(next));
@@ -265,7 +265,7 @@
 
 // An entry needs the table, not the text that an operator reads back; it may be as large again.
 TEST(versioned_edits, daemons_get_the_table_without_the_document) {
-    lone_control site;
+    single_control site;
     const control_core& c = site.core;
     site.edit(make_versioned(7, 5));
     ASSERT_EQ(c.cluster.document, "document 7");
@@ -307,7 +307,7 @@
     s.renew("x", {}, all_alive()); // confirms the fence
     s.tick();
     s.answer_probes({"s1"}, 20);
-    const auto order = s.take_open<promote_server>();
+    const auto order = s.take_pending<promote_server>();
     ASSERT_TRUE(order.has_value());
     EXPECT_NE(order->server.id, server_id{"s1"});
 }
@@ -318,10 +318,10 @@
 
 // s1 leaves, or an operator wants s2 in its place. The primary's log and the longest other one are set by
 // each test; time goes on in small steps, as the leader's ticks do.
-struct switched_site {
+struct switchover_site {
     control_site s = make_site();
-    log_position primary_holds = 100;
-    log_position others_hold = 100;
+    log_position primary_position = 100;
+    log_position replica_position = 100;
     bool primary_answers = true;
 
     void leave() {
@@ -331,14 +331,14 @@
         s.tick();
     }
     void answer() {
-        while (const auto probe = s.take_open<probe_server>()) {
+        while (const auto probe = s.take_pending<probe_server>()) {
             const bool is_primary = probe->server.id == server_id{"s1"};
             s.answer({.operation = probe->operation,
                       .server = probe->server.id,
                       .answered = !is_primary || primary_answers,
                       .is_primary = is_primary,
                       .timeline = s.group().timeline,
-                      .position = is_primary ? primary_holds : others_hold});
+                      .position = is_primary ? primary_position : replica_position});
         }
     }
     void run_for(milliseconds time, const std::vector<server_observation>& seen = all_alive()) {
@@ -351,77 +351,77 @@
         }
     }
     [[nodiscard]] bool takes_writes() { return s.group().phase == group_phase::serving; }
-    [[nodiscard]] std::optional<promote_server> order() { return s.take_open<promote_server>(); }
-    [[nodiscard]] bool noted(const std::string& what) const {
-        return std::find(s.notes.begin(), s.notes.end(), what) != s.notes.end();
+    [[nodiscard]] std::optional<promote_server> next_promotion() { return s.take_pending<promote_server>(); }
+    [[nodiscard]] bool has_event(const std::string& what) const {
+        return std::find(s.events.begin(), s.events.end(), what) != s.events.end();
     }
 };
 
 TEST(planned_switch, waits_until_a_successor_holds_all_that_the_fenced_primary_holds) {
-    switched_site p;
-    p.others_hold = 99;
+    switchover_site p;
+    p.replica_position = 99;
     p.leave();
     p.run_for(milliseconds{20});
     EXPECT_TRUE(p.takes_writes()) << "nobody holds what the primary held when it was asked first";
-    p.primary_holds = 110;
-    p.others_hold = 105;
+    p.primary_position = 110;
+    p.replica_position = 105;
     p.run_for(milliseconds{200});
     EXPECT_FALSE(p.takes_writes());
-    EXPECT_FALSE(p.order().has_value()) << "105 of 110";
-    p.others_hold = 110;
+    EXPECT_FALSE(p.next_promotion().has_value()) << "105 of 110";
+    p.replica_position = 110;
     p.run_for(milliseconds{200});
-    const auto order = p.order();
+    const auto order = p.next_promotion();
     ASSERT_TRUE(order.has_value());
     EXPECT_NE(order->server.id, server_id{"s1"});
 }
 
 // A replica that is seconds behind would keep the writes closed for seconds, over and over.
 TEST(planned_switch, closes_no_writes_for_replicas_that_are_far_behind) {
-    switched_site p;
-    p.others_hold = 10;
+    switchover_site p;
+    p.replica_position = 10;
     p.leave();
     std::size_t asked = 0;
     for (int i = 0; i < 700; ++i) { // 7 s
         p.s.now += milliseconds{10};
         p.s.renew("x", {}, all_alive());
         p.s.tick();
-        asked += p.s.open.size();
+        asked += p.s.pending_actions.size();
         p.answer();
         ASSERT_TRUE(p.takes_writes());
     }
     EXPECT_LE(asked, 60U) << "questions to three servers";
     EXPECT_GE(asked, 15U);
-    p.others_hold = 100;
+    p.replica_position = 100;
     p.run_for(milliseconds{4000});
     EXPECT_FALSE(p.takes_writes()) << "one has caught up after all";
 }
 
 // It was close when the fence was set, and then it stood still.
 TEST(planned_switch, lets_the_old_primary_go_on_when_nobody_catches_up) {
-    switched_site p;
+    switchover_site p;
     p.leave();
     p.answer();
     ASSERT_FALSE(p.takes_writes());
-    p.primary_holds = 101;
+    p.primary_position = 101;
     p.run_for(milliseconds{2900});
     EXPECT_FALSE(p.takes_writes());
     p.run_for(milliseconds{300});
     EXPECT_TRUE(p.takes_writes());
     EXPECT_EQ(p.s.group().primary, server_id{"s1"});
-    EXPECT_FALSE(p.order().has_value()) << "nobody else was promoted";
+    EXPECT_FALSE(p.next_promotion().has_value()) << "nobody else was promoted";
 }
 
 TEST(planned_switch, loses_nothing_when_the_primary_does_not_answer_the_leader_but_lives) {
-    switched_site p;
+    switchover_site p;
     p.leave();
     p.answer();
     ASSERT_FALSE(p.takes_writes());
     p.primary_answers = false;
     p.run_for(milliseconds{3200});
-    EXPECT_FALSE(p.order().has_value()) << "what it acknowledged last is not known";
+    EXPECT_FALSE(p.next_promotion().has_value()) << "what it acknowledged last is not known";
     EXPECT_TRUE(p.takes_writes());
     EXPECT_EQ(p.s.group().primary, server_id{"s1"});
-    EXPECT_TRUE(p.noted("switchover_given_up"));
+    EXPECT_TRUE(p.has_event("switchover_given_up"));
 }
 
 TEST(planned_switch, is_a_failover_when_the_primary_dies_meanwhile) {
@@ -429,15 +429,15 @@
                                                {.server = {"s2"}, .alive = true},
                                                {.server = {"s3"}, .alive = true}};
     for (const bool before_the_fence : {true, false}) {
-        switched_site p;
-        p.others_hold = before_the_fence ? 90 : 100;
+        switchover_site p;
+        p.replica_position = before_the_fence ? 90 : 100;
         p.leave();
         p.run_for(milliseconds{20});
         ASSERT_EQ(p.takes_writes(), before_the_fence);
-        p.primary_holds = 101;
+        p.primary_position = 101;
         p.primary_answers = false;
         p.run_for(milliseconds{500}, dead);
-        const auto order = p.order();
+        const auto order = p.next_promotion();
         ASSERT_TRUE(order.has_value());
         EXPECT_NE(order->server.id, server_id{"s1"});
     }
@@ -445,46 +445,46 @@
 
 // The leader that set the fence is gone; the next one leaves the primary as carefully.
 TEST(planned_switch, goes_on_as_carefully_under_a_new_leader) {
-    switched_site p;
+    switchover_site p;
     p.leave();
     p.answer();
     ASSERT_FALSE(p.takes_writes());
     start_leading(p.s.control, 4, p.s.now);
     p.s.seqs.clear();
-    p.primary_holds = 105;
+    p.primary_position = 105;
     p.run_for(milliseconds{2000});
-    EXPECT_FALSE(p.order().has_value()) << "100 of 105";
-    p.others_hold = 105;
+    EXPECT_FALSE(p.next_promotion().has_value()) << "100 of 105";
+    p.replica_position = 105;
     p.run_for(milliseconds{1000});
-    ASSERT_TRUE(p.order().has_value());
+    ASSERT_TRUE(p.next_promotion().has_value());
 }
 
 TEST(planned_switch, of_an_operator_is_given_up_without_a_fence_where_the_target_is_behind) {
-    switched_site p;
-    p.others_hold = 10;
+    switchover_site p;
+    p.replica_position = 10;
     p.run_for(milliseconds{10}); // all are seen alive
     control_actions actions;
     EXPECT_EQ(start_switchover(p.s.control, p.s.cluster, {"g"}, {"s2"}, p.s.now, actions), result_code::ok);
-    p.s.take(actions);
+    p.s.execute(actions);
     p.run_for(milliseconds{2900});
     EXPECT_TRUE(p.takes_writes());
-    EXPECT_FALSE(p.noted("switchover_given_up"));
+    EXPECT_FALSE(p.has_event("switchover_given_up"));
     p.run_for(milliseconds{200});
-    EXPECT_TRUE(p.noted("switchover_given_up"));
+    EXPECT_TRUE(p.has_event("switchover_given_up"));
     EXPECT_TRUE(p.s.control.failovers.empty());
 }
 
 TEST(planned_switch, of_an_operator_goes_before_one_that_has_closed_nothing_yet) {
-    switched_site p;
-    p.others_hold = 10;
+    switchover_site p;
+    p.replica_position = 10;
     p.leave();
     p.run_for(milliseconds{100});
     control_actions actions;
     EXPECT_EQ(start_switchover(p.s.control, p.s.cluster, {"g"}, {"s3"}, p.s.now, actions), result_code::ok);
-    p.s.take(actions);
-    p.others_hold = 100;
+    p.s.execute(actions);
+    p.replica_position = 100;
     p.run_for(milliseconds{500});
-    const auto order = p.order();
+    const auto order = p.next_promotion();
     ASSERT_TRUE(order.has_value());
     EXPECT_EQ(order->server.id, server_id{"s3"});
 }
@@ -568,7 +568,7 @@
         s.renew("x", {}, seen); // confirms the fence
         s.tick();
         s.answer_probes({"s1"}, 20);
-        const auto order = s.take_open<promote_server>();
+        const auto order = s.take_pending<promote_server>();
         ASSERT_TRUE(order.has_value());
         EXPECT_EQ(order->server.id, server_id{"s3"}) << "new leader: " << new_leader;
     }
@@ -582,7 +582,7 @@
     s.renew("x", {bye}, all_alive());
     s.tick();
     const auto answer_all = [&s] {
-        while (const auto probe = s.take_open<probe_server>()) {
+        while (const auto probe = s.take_pending<probe_server>()) {
             const bool holds = probe->server.id == server_id{"s1"};
             s.answer({.operation = probe->operation,
                       .server = probe->server.id,
@@ -601,7 +601,7 @@
         EXPECT_EQ(s.group().phase, group_phase::serving) << "it goes on while the others may catch up";
     }
     EXPECT_EQ(s.group().primary, server_id{"s1"});
-    EXPECT_FALSE(s.take_open<promote_server>().has_value());
+    EXPECT_FALSE(s.take_pending<promote_server>().has_value());
 }
 
 // The same after a fence that an earlier leader has set.
@@ -620,7 +620,7 @@
         s.now += milliseconds{500};
         s.renew("x", {}, all_alive());
         s.tick();
-        while (const auto probe = s.take_open<probe_server>()) {
+        while (const auto probe = s.take_pending<probe_server>()) {
             const bool holds = probe->server.id == server_id{"s1"};
             s.answer({.operation = probe->operation,
                       .server = probe->server.id,
@@ -637,14 +637,14 @@
 TEST(leaving, a_server_that_is_gone_loses_its_record_but_not_while_it_is_the_primary) {
     control_site s = make_site();
     server_announcement gone = announce("s2", false, 9);
-    gone.gone = true;
+    gone.stopped = true;
     s.renew("x", {gone});
     s.tick();
     EXPECT_FALSE(s.cluster.servers.contains({"s2"}));
     s.renew("x", {announce("s2", false, 8)});
     EXPECT_FALSE(s.cluster.servers.contains({"s2"})) << "a late announcement brings nobody back";
     server_announcement primary_gone = announce("s1", true, 9);
-    primary_gone.gone = true;
+    primary_gone.stopped = true;
     s.renew("x", {primary_gone});
     s.tick();
     EXPECT_TRUE(s.cluster.servers.contains({"s1"}));
@@ -682,7 +682,7 @@
 server_announcement announce_start(const std::string& id, bool primary, std::uint64_t started,
                                    std::uint64_t sequence) {
     server_announcement a = announce(id, primary, sequence);
-    a.record.started = started;
+    a.record.start_time_ms = started;
     return a;
 }
 
@@ -702,7 +702,7 @@
     for (const bool gone : {false, true}) {
         control_site s = make_site_with_starts();
         server_announcement bye = announce_start("s2", false, 1'000, 41);
-        (gone ? bye.gone : bye.leaving) = true;
+        (gone ? bye.stopped : bye.leaving) = true;
         s.renew("x", {bye}, all_alive());
         s.tick();
         server_announcement again = announce_start("s2", false, 2'000, 1);
@@ -711,7 +711,7 @@
         ASSERT_TRUE(s.cluster.servers.contains({"s2"})) << "gone: " << gone;
         const server_record record = s.cluster.servers.at({"s2"});
         EXPECT_EQ(record.port, 6000) << "gone: " << gone;
-        EXPECT_EQ(record.started, 2'000U);
+        EXPECT_EQ(record.start_time_ms, 2'000U);
         EXPECT_FALSE(record.leaving);
     }
 }
@@ -728,7 +728,7 @@
         late.leaving = true;
         late.record.port = 6000;
         s.renew("x", {late}, all_alive());
-        late.gone = true;
+        late.stopped = true;
         s.renew("x", {late}, all_alive());
         s.tick();
         ASSERT_TRUE(s.cluster.servers.contains({"s2"}));
@@ -746,7 +746,7 @@
     EXPECT_EQ(s.group().phase, group_phase::fencing);
     s.renew("x", {}, all_alive()); // confirms the fence
     s.tick();
-    while (const auto probe = s.take_open<probe_server>()) {
+    while (const auto probe = s.take_pending<probe_server>()) {
         const bool restarted = probe->server.id == server_id{"s1"};
         s.answer({.operation = probe->operation,
                   .server = probe->server.id,
@@ -755,7 +755,7 @@
                   .timeline = 1,
                   .position = restarted ? 0U : 20U});
     }
-    const auto order = s.take_open<promote_server>();
+    const auto order = s.take_pending<promote_server>();
     ASSERT_TRUE(order.has_value());
     EXPECT_NE(order->server.id, server_id{"s1"});
 }
@@ -764,7 +764,7 @@
 TEST(starts, a_new_leader_sees_that_the_primary_has_started_again) {
     control_site s = make_site_with_starts();
     server_record again = s.cluster.servers.at({"s1"});
-    again.started = 2'000;
+    again.start_time_ms = 2'000;
     again.start_number += 1'000;
     apply(s.cluster, s.cluster.revision + 1, register_server{again});
     start_leading(s.control, 4, s.now);
@@ -786,7 +786,7 @@
         s.tick();
         s.renew("x", {}, all_alive()); // confirms the fence
         s.tick();
-        while (const auto probe = s.take_open<probe_server>()) {
+        while (const auto probe = s.take_pending<probe_server>()) {
             s.answer({.operation = probe->operation,
                       .server = probe->server.id,
                       .answered = !one_is_silent || probe->server.id != server_id{"s3"},
@@ -794,7 +794,7 @@
         }
         s.now += milliseconds{400};
         s.tick();
-        EXPECT_EQ(s.take_open<promote_server>().has_value(), !one_is_silent);
+        EXPECT_EQ(s.take_pending<promote_server>().has_value(), !one_is_silent);
     }
 }
 
@@ -833,7 +833,7 @@
 //-----------------------------------------------------------------------------
 
 // Drives a failover of the dead s1 up to the order to promote.
-promote_server lose_primary(control_site& s) {
+promote_server fail_over(control_site& s) {
     const std::vector<server_observation> seen{{.server = {"s1"}, .alive = false},
                                                {.server = {"s2"}, .alive = true},
                                                {.server = {"s3"}, .alive = true}};
@@ -842,31 +842,31 @@
     s.renew("x", {}, seen);
     s.tick();
     s.answer_probes({"s1"}, 20);
-    const auto order = s.take_open<promote_server>();
+    const auto order = s.take_pending<promote_server>();
     EXPECT_TRUE(order.has_value());
     return order.value_or(promote_server{});
 }
 
 TEST(promotion, each_order_has_a_token_above_all_earlier_ones) {
     control_site s = make_site();
-    const promote_server first = lose_primary(s);
+    const promote_server first = fail_over(s);
     s.answer({.operation = first.operation, .server = first.server.id});
     s.tick();
     s.answer_probes({"s1"}, 20);
-    const auto second = s.take_open<promote_server>();
+    const auto second = s.take_pending<promote_server>();
     ASSERT_TRUE(second.has_value());
     EXPECT_GT(second->token, first.token);
     control_state later;
     start_leading(later, 4, s.now);
-    EXPECT_GT(number_across_leaders(later, 0), second->token) << "of the next leader";
+    EXPECT_GT(make_monotonic_number(later, 0), second->token) << "of the next leader";
 }
 
 TEST(promotion, an_order_without_an_answer_is_given_again_to_the_same_server) {
     control_site s = make_site();
     s.control.config.always_promote = true;
-    const promote_server first = lose_primary(s);
-    s.answer({.operation = first.operation, .server = first.server.id, .undecided = true});
-    const auto second = s.take_open<promote_server>();
+    const promote_server first = fail_over(s);
+    s.answer({.operation = first.operation, .server = first.server.id, .outcome_unknown = true});
+    const auto second = s.take_pending<promote_server>();
     ASSERT_TRUE(second.has_value()) << "at once, without asking everyone again";
     EXPECT_EQ(second->server.id, first.server.id);
     EXPECT_GT(second->token, first.token);
@@ -1044,12 +1044,12 @@
     const share_claim claim{.key = {.service = {"g"}, .server = {"s1"}}, .in_effect = 0, .wanted = 4};
     s.renew("x");
     s.renew("y");
-    s.takes_callers = false;
+    s.accepts_clients = false;
     s.renew("control");
     s.tick();
     ASSERT_TRUE(s.cluster.instances.contains({"control"}));
     start_leading(s.control, 2, s.now);
-    s.takes_callers = true;
+    s.accepts_clients = true;
     s.seqs.clear();
     EXPECT_EQ(s.renew("x", {}, {}, {claim}).shares.at(0).connections, 0U) << "y may hold some";
     s.renew("y");
@@ -1057,7 +1057,7 @@
         << "y may have sent that before it got some by an earlier leader's last word";
     s.renew("y");
     EXPECT_EQ(s.renew("x", {}, {}, {claim}).shares.at(0).connections, 4U);
-    s.takes_callers = false;
+    s.accepts_clients = false;
     EXPECT_EQ(s.renew("control", {}, {}, {claim}).shares.at(0).connections, 0U) << "it is not counted";
 }
 
@@ -1086,11 +1086,11 @@
     control_site s;
     s.control.leading_since = s.now; // a commit takes time, and leaders change meanwhile
     renewal first;
-    first.instance = {.id = {"x"}, .domain = {"d"}, .address = "127.0.0.1:1", .takes_callers = true};
+    first.instance = {.id = {"x"}, .domain = {"d"}, .address = "127.0.0.1:1", .accepts_clients = true};
     first.incarnation = 1;
     control_actions uncommitted;
     EXPECT_EQ(on_renewal(s.control, s.cluster, first, s.now, uncommitted).lease, duration{0});
-    s.take(uncommitted);
+    s.execute(uncommitted);
     EXPECT_GT(s.renew("x").lease, duration{0});
 }
 
--- a/tests/core_test.cpp
+++ b/tests/core_test.cpp
@@ -40,7 +40,7 @@
     EXPECT_EQ(apply(s, 2, make_edit("b", 0, 6)).code, result_code::revision_conflict);
     EXPECT_EQ(apply(s, 3, make_edit("a", 0, 5)).table_revision, 1U);
     EXPECT_EQ(apply(s, 4, make_edit("b", 1, 6)).code, result_code::revision_conflict) << "decided once";
-    EXPECT_EQ(s.current.services[0].max_connections, 5U);
+    EXPECT_EQ(s.current_table.services[0].max_connections, 5U);
     EXPECT_EQ(s.table_revision, 1U);
 }
 
@@ -49,12 +49,12 @@
     edit_table e = make_edit("a", 0, 5);
     e.next.services.push_back({.id = {"zoo"}, .max_connections = 0});
     EXPECT_EQ(apply(s, 1, e).code, result_code::table_invalid);
-    EXPECT_TRUE(s.current.services.empty());
+    EXPECT_TRUE(s.current_table.services.empty());
 }
 
 TEST(table, a_late_change_of_a_group_changes_nothing) {
     cluster_state s;
-    const group_record first{.id = {"g"}, .term = 1, .primary = {"a"}, .timeline = 1, .starts = {{1, 0}}};
+    const group_record first{.id = {"g"}, .term = 1, .primary = {"a"}, .timeline = 1, .term_starts = {{1, 0}}};
     apply(s, 1, set_group{.expected_term = 0, .next = first});
     group_record second = first;
     second.term = 2;
@@ -70,7 +70,7 @@
 TEST(table, positions_beyond_a_later_start_are_lost) {
     group_record g;
     g.term = 3;
-    g.starts = {{1, 0}, {2, 500}, {3, 400}};
+    g.term_starts = {{1, 0}, {2, 500}, {3, 400}};
     EXPECT_EQ(surviving_position(g, 1), 400U);
     EXPECT_EQ(surviving_position(g, 2), 400U);
     EXPECT_FALSE(surviving_position(g, 4).has_value());
--- a/tests/cut_off_test.cpp
+++ b/tests/cut_off_test.cpp
@@ -33,7 +33,7 @@
         time_point next_at{};
         bool cut = false;
         std::uint64_t last_reply_seq = 0;
-        known_lost known;
+        lost_instance_set known;
         unsigned news = 0; // that it was sent
     };
 
@@ -60,7 +60,7 @@
         i.record = {.id = {name},
                     .domain = {"d" + std::to_string(place % 3)},
                     .address = name + ":1",
-                    .takes_callers = true};
+                    .accepts_clients = true};
         i.next_at = now + milliseconds{place * 3 % 200};
         instances[i.record.id] = i;
     }
@@ -81,15 +81,15 @@
         renewal r;
         r.instance = i.record;
         r.incarnation = 1;
-        r.applied = cluster.revision;
+        r.applied_revision = cluster.revision;
         r.last_reply_seq = i.last_reply_seq;
-        r.lost_number = i.known.number;
+        r.lost_version = i.known.version;
         control_actions actions;
         const renewal_reply reply = on_renewal(control, cluster, r, now, actions);
         i.last_reply_seq = reply.seq;
         if (reply.lost) {
             ++i.news;
-            EXPECT_TRUE(take_news(i.known, *reply.lost, cluster));
+            EXPECT_TRUE(apply_lost_update(i.known, *reply.lost, cluster));
         }
         take(actions);
     }
@@ -166,7 +166,7 @@
     s.run(std::chrono::seconds{10});
     EXPECT_EQ(s.news(), 0U);
     for (const auto& [id, i] : s.instances) {
-        EXPECT_EQ(i.known.number, 0U) << "and the renewal names no set";
+        EXPECT_EQ(i.known.version, 0U) << "and the renewal names no set";
     }
 }
 
@@ -188,8 +188,8 @@
     const instance_id back = s.instances.begin()->first;
     s.instances.at(back).cut = false;
     s.renew(s.instances.at(back));
-    EXPECT_FALSE(s.control.lost.lost.contains(back));
-    EXPECT_TRUE(s.instances.at(back).known.lost.empty()) << "it is not told of itself";
+    EXPECT_FALSE(s.control.lost.instances.contains(back));
+    EXPECT_TRUE(s.instances.at(back).known.instances.empty()) << "it is not told of itself";
 }
 
 TEST(lost_instances, a_new_one_is_not_lost_before_its_first_lease) {
@@ -254,13 +254,13 @@
         }
     }
     s.instances_revision = 7;
-    lost_news news;
-    news.number = 12;
+    lost_update news;
+    news.version = 12;
     news.instances_revision = 7;
     news.bits = encode_lost(lost, s.instances);
     renewal_reply reply;
     reply.seq = 3;
-    reply.observe = {{"s1"}};
+    reply.servers_to_observe = {{"s1"}};
     wire::renewal_reply calm;
     to_wire(reply, calm);
     EXPECT_EQ(from_wire(calm).lost, std::nullopt);
@@ -271,22 +271,22 @@
 
     const renewal_reply heard = from_wire(m);
     EXPECT_EQ(heard, reply);
-    known_lost known;
-    ASSERT_TRUE(heard.lost && take_news(known, *heard.lost, s));
-    EXPECT_EQ(known.lost, lost);
-    EXPECT_EQ(known.number, 12U);
+    lost_instance_set known;
+    ASSERT_TRUE(heard.lost && apply_lost_update(known, *heard.lost, s));
+    EXPECT_EQ(known.instances, lost);
+    EXPECT_EQ(known.version, 12U);
 }
 
 TEST(lost_news, a_renewal_names_its_set_and_nothing_while_there_is_none) {
     renewal said;
     wire::renewal calm;
     to_wire(said, calm);
-    said.lost_number = (3ULL << 40U) + 5;
+    said.lost_version = (3ULL << 40U) + 5;
     wire::renewal m;
     to_wire(said, m);
     EXPECT_LE(m.ByteSizeLong() - calm.ByteSizeLong(), 8U);
-    EXPECT_EQ(from_wire(m).lost_number, said.lost_number);
-    EXPECT_EQ(from_wire(calm).lost_number, 0U);
+    EXPECT_EQ(from_wire(m).lost_version, said.lost_version);
+    EXPECT_EQ(from_wire(calm).lost_version, 0U);
 }
 
 // The bits of one list read by another would call the wrong ones lost.
@@ -294,13 +294,13 @@
     cluster_state s;
     s.instances[{"a"}].id = {"a"};
     s.instances_revision = 4;
-    known_lost known;
-    EXPECT_FALSE(take_news(known, {.number = 9, .instances_revision = 5, .bits = "\1"}, s));
-    EXPECT_EQ(known.number, 0U) << "so that they come again";
-    EXPECT_TRUE(take_news(known, {.number = 9, .instances_revision = 4, .bits = "\1"}, s));
-    EXPECT_TRUE(known.lost.contains({"a"}));
-    EXPECT_TRUE(take_news(known, {}, s));
-    EXPECT_TRUE(known.lost.empty());
+    lost_instance_set known;
+    EXPECT_FALSE(apply_lost_update(known, {.version = 9, .instances_revision = 5, .bits = "\1"}, s));
+    EXPECT_EQ(known.version, 0U) << "so that they come again";
+    EXPECT_TRUE(apply_lost_update(known, {.version = 9, .instances_revision = 4, .bits = "\1"}, s));
+    EXPECT_TRUE(known.instances.contains({"a"}));
+    EXPECT_TRUE(apply_lost_update(known, {}, s));
+    EXPECT_TRUE(known.instances.empty());
 }
 
 //-----------------------------------------------------------------------------
@@ -327,7 +327,7 @@
         s.instances[id] = {.id = id,
                            .domain = {"d" + std::to_string(i % 3)},
                            .address = id.value + ":1",
-                           .takes_callers = true};
+                           .accepts_clients = true};
         if (i < 43) {
             lost.insert(id);
         }
--- a/tests/io_test.cpp
+++ b/tests/io_test.cpp
@@ -613,18 +613,18 @@
     EXPECT_TRUE(rc::check([](std::uint8_t connections, std::uint8_t weight, bool leaving) {
         table_file t;
         t.revision = 7;
-        t.content.transaction_idle = std::chrono::milliseconds{weight};
+        t.content.transaction_idle_timeout = std::chrono::milliseconds{weight};
         t.content.routes = {{.database = "fotos",
                              .group = {"catalogo"},
                              .service = {"shop"},
                              .consistency = static_cast<read_consistency>(weight % 4),
                              .max_staleness = std::chrono::milliseconds{weight},
                              .statement_timeout = std::chrono::milliseconds{weight + 1},
-                             .objective = std::chrono::milliseconds{connections},
+                             .latency_objective = std::chrono::milliseconds{connections},
                              .priority = weight,
                              .max_attempts = weight % 10U + 1,
                              .is_public = leaving}};
-        t.content.needs_key = leaving;
+        t.content.requires_key = leaving;
         t.content.workspaces = {{.id = {"acme"}, .priority = weight, .rate = connections, .burst = weight},
                                 {.id = {"bell"}}};
         t.content.keys = {{.digest = digest_key("one"), .workspace = {"acme"}},
@@ -664,7 +664,7 @@
     edit_table edit;
     edit.change_id = "c";
     edit.document = "d";
-    edit.next.needs_key = true;
+    edit.next.requires_key = true;
     edit.next.workspaces = {{.id = {"acme"}, .priority = 1, .rate = 2, .burst = 3}};
     edit.next.keys = {{.digest = digest_key("k"), .workspace = {"acme"}}};
     EXPECT_EQ(std::get<edit_table>(decode_command(encode_command(edit)).value()), edit);
--- a/tests/ordering_site_test.cpp
+++ b/tests/ordering_site_test.cpp
@@ -44,7 +44,7 @@
         cluster_state s;
         for (unsigned i = 1; i <= daemon_count; ++i) {
             const std::string id = "daemon-" + std::to_string(i);
-            s.instances[{id}] = {.id = {id}, .domain = {"z1"}, .address = id, .takes_callers = true};
+            s.instances[{id}] = {.id = {id}, .domain = {"z1"}, .address = id, .accepts_clients = true};
         }
         for (const fake_server& server : site.group.servers) {
             s.servers[{server.id}] = {
--- a/tests/ordering_test.cpp
+++ b/tests/ordering_test.cpp
@@ -49,7 +49,7 @@
         state.instances[{id}] = {.id = {id},
                                  .domain = {"z" + std::to_string(i % domains)},
                                  .address = "10.0.0." + std::to_string(i) + ":1",
-                                 .takes_callers = true};
+                                 .accepts_clients = true};
     }
     [[nodiscard]] std::map<server_id, instance_id> firsts() const {
         std::map<server_id, instance_id> all;
@@ -62,7 +62,7 @@
 
 TEST(order_homes, names_all_that_take_callers_and_those_beside_the_server_first) {
     listed_site s(70, 24);
-    s.state.instances.at({"e3"}).takes_callers = false;
+    s.state.instances.at({"e3"}).accepts_clients = false;
     for (const auto& [id, server] : s.state.servers) {
         const auto homes = order_homes(s.state, id, few_connections);
         ASSERT_EQ(homes.size(), 69U);
@@ -83,7 +83,7 @@
         b.add_instance(i);
     }
     b.state.revision = 77;
-    b.state.servers.at({"s3"}).started = 5; // a new start, which moves nothing
+    b.state.servers.at({"s3"}).start_time_ms = 5; // a new start, which moves nothing
     for (const auto& [id, server] : a.state.servers) {
         EXPECT_EQ(order_homes(a.state, id, few_connections), order_homes(b.state, id, few_connections));
     }
@@ -143,7 +143,7 @@
 TEST(order_homes, begins_elsewhere_where_nobody_beside_the_server_takes_callers) {
     listed_site s(9, 3);
     for (auto& [id, instance] : s.state.instances) {
-        instance.takes_callers = instance.domain.value != "z0";
+        instance.accepts_clients = instance.domain.value != "z0";
     }
     EXPECT_EQ(order_homes(s.state, {"s0"}, 4).size(), 6U);
 }
@@ -164,15 +164,15 @@
     void tell(unsigned told, std::uint64_t started) {
         server_announcement a;
         a.record = {.id = {"s1"}, .group = {"g"}, .host = "127.0.0.1", .port = 5, .domain = {"z"}};
-        a.record.started = started;
+        a.record.start_time_ms = started;
         a.record.slots = told;
         a.is_primary = true;
         a.timeline = 1;
         a.sequence = ++sequence;
         renewal r;
-        r.instance = {.id = {"x"}, .domain = {"z"}, .address = "127.0.0.1:1", .takes_callers = true};
+        r.instance = {.id = {"x"}, .domain = {"z"}, .address = "127.0.0.1:1", .accepts_clients = true};
         r.incarnation = 1;
-        r.applied = cluster.revision;
+        r.applied_revision = cluster.revision;
         r.announcements = {a};
         control_actions actions;
         on_renewal(control, cluster, r, now, actions);
--- a/tests/platform_test.cpp
+++ b/tests/platform_test.cpp
@@ -113,7 +113,7 @@
     std::string why;
     const auto a = platform::parse_heartbeat("i", good_heartbeat, why);
     ASSERT_TRUE(a.has_value()) << why;
-    EXPECT_EQ(a->record.started, 1'780'000'000'000U);
+    EXPECT_EQ(a->record.start_time_ms, 1'780'000'000'000U);
     EXPECT_EQ(a->sequence, 4U);
     EXPECT_FALSE(a->leaving);
     EXPECT_EQ(platform::parse_farewell(R"({"born":17})", why), 17U);
@@ -218,8 +218,8 @@
     EXPECT_EQ(r->consistency, read_consistency::own_writes);
     EXPECT_EQ(r->max_staleness, milliseconds{1500});
     EXPECT_EQ(r->statement_timeout, milliseconds{800});
-    EXPECT_EQ(r->objective, milliseconds{250});
-    EXPECT_EQ(t->content.transaction_idle, milliseconds{300});
+    EXPECT_EQ(r->latency_objective, milliseconds{250});
+    EXPECT_EQ(t->content.transaction_idle_timeout, milliseconds{300});
 }
 
 //-----------------------------------------------------------------------------
@@ -271,7 +271,7 @@
     }
     s.beat();
     const auto& servers = s.daemons.front().core->cluster().servers;
-    ASSERT_TRUE(s.run_until([&] { return servers.at({"s2"}).started != 0; }));
+    ASSERT_TRUE(s.run_until([&] { return servers.at({"s2"}).start_time_ms != 0; }));
     const unsigned port = s.daemons.front().control_port;
     s.server("s2").started = 0;
     EXPECT_EQ(s.beat_at(s.daemons.front(), s.server("s2")).status, 400);
@@ -653,7 +653,7 @@
         EXPECT_EQ(site.post(site.daemons.front().control_port, "/larchpin/config/replace", body).status, 200);
         EXPECT_TRUE(site.run_until([&] {
             return std::all_of(site.daemons.begin(), site.daemons.end(), [&](const site_daemon& d) {
-                return d.core->cluster().current.services.at(0).max_connections == few;
+                return d.core->cluster().current_table.services.at(0).max_connections == few;
             });
         }));
         for (site_daemon& d : site.daemons) {
--- a/tests/routing_test.cpp
+++ b/tests/routing_test.cpp
@@ -27,7 +27,7 @@
     std::mt19937_64 random{1};
 
     routed_group() {
-        view.record = {.id = {"g"}, .term = 1, .primary = {"p"}, .timeline = 1, .starts = {{.term = 1}}};
+        view.record = {.id = {"g"}, .term = 1, .primary = {"p"}, .timeline = 1, .term_starts = {{.term = 1}}};
         view.positions = &positions;
         view.servers_enforce_floor = true;
         for (const char* id : {"p", "a", "b"}) {
--- a/tests/scale_test.cpp
+++ b/tests/scale_test.cpp
@@ -100,7 +100,7 @@
             instances[i].record = {.id = {"instance-" + std::to_string(i)},
                                    .domain = {"domain-" + std::to_string(i % 3)},
                                    .address = "10.0.0." + std::to_string(i) + ":7432",
-                                   .takes_callers = true};
+                                   .accepts_clients = true};
             at(microseconds{300'000 * i / count}, [this, i] {
                 renew_instance(i);
                 watch(i);
@@ -189,7 +189,7 @@
         renewal r;
         r.instance = i.record;
         r.incarnation = 1;
-        r.applied = i.applied;
+        r.applied_revision = i.applied;
         r.last_reply_seq = i.seq;
         std::swap(r.announcements, i.heard);
         for (const server_id& id : i.observed) {
@@ -225,7 +225,7 @@
     void take_renewal(std::size_t who, const renewal_reply& reply, time_point sent) {
         instance& i = instances[who];
         i.seq = reply.seq;
-        i.observed = reply.observe;
+        i.observed = reply.servers_to_observe;
         note_lease(i);
         add_grant(i.held, sent, reply.lease, reply.revision, i.applied);
         note_lease(i);
--- a/tests/session_fuzz_test.cpp
+++ b/tests/session_fuzz_test.cpp
@@ -51,7 +51,7 @@
             servers_.push_back({.id = {"s" + std::to_string(i)}, .position = 100, .timeline = 1});
         }
         view_.record = {
-            .id = {"g"}, .term = 1, .primary = {"s0"}, .timeline = 1, .starts = {{.term = 1, .position = 0}}};
+            .id = {"g"}, .term = 1, .primary = {"s0"}, .timeline = 1, .term_starts = {{.term = 1, .position = 0}}};
         view_.positions = &positions_;
         for (int i = 0; i < 6; ++i) {
             sessions_.push_back(make_session());
@@ -121,7 +121,7 @@
             if (s.timeline != view_.record.timeline) {
                 if (chance(0.05)) { // follows the new primary, from where the histories part
                     s.timeline = view_.record.timeline;
-                    s.position = std::min(s.position, view_.record.starts.back().position);
+                    s.position = std::min(s.position, view_.record.term_starts.back().position);
                 }
                 continue;
             }
@@ -256,9 +256,9 @@
         view_.record.term += 1;
         view_.record.primary = best->id;
         view_.record.timeline = best->timeline;
-        view_.record.starts.push_back({.term = view_.record.term, .position = best->position});
-        if (view_.record.starts.size() > max_term_starts) {
-            view_.record.starts.erase(view_.record.starts.begin());
+        view_.record.term_starts.push_back({.term = view_.record.term, .position = best->position});
+        if (view_.record.term_starts.size() > max_term_starts) {
+            view_.record.term_starts.erase(view_.record.term_starts.begin());
         }
         std::erase_if(acks_, [best](const acknowledged& a) { return a.position > best->position; });
         for (model_session& s : sessions_) {
--- a/tests/workspace_site_test.cpp
+++ b/tests/workspace_site_test.cpp
@@ -118,7 +118,7 @@
     workspace_site s(two_workspaces, 2);
     const site_daemon& entry = s.site.daemons.back();
     EXPECT_TRUE(entry.core->cluster().document.empty());
-    EXPECT_EQ(entry.core->cluster().current.keys.size(), 3U);
+    EXPECT_EQ(entry.core->cluster().current_table.keys.size(), 3U);
     EXPECT_EQ(s.site.get(s.site.daemons.front().control_port, "/larchpin/config/fetch").body,
               body_with(s.version, two_workspaces));
 }
--- a/tests/workspace_test.cpp
+++ b/tests/workspace_test.cpp
@@ -28,7 +28,7 @@
 
 table make_table() {
     table t;
-    t.needs_key = true;
+    t.requires_key = true;
     t.services.push_back({.id = {"db"}});
     t.workspaces = {{.id = {"acme"}, .rate = 10, .burst = 5}, {.id = {"bell"}}};
     t.keys = {{.digest = digest_key("acme-1"), .workspace = {"acme"}},
@@ -224,7 +224,7 @@
             state.instances[{id}] = {.id = {id},
                                      .domain = {"z" + std::to_string(i % 3)},
                                      .address = "10.0.0." + std::to_string(i) + ":1",
-                                     .takes_callers = true};
+                                     .accepts_clients = true};
         }
     }
 };
