--- a/bench/model/loaded_group.cpp
+++ b/bench/model/loaded_group.cpp
@@ -238,7 +238,7 @@
             ++result_.replica_reads_by_second[static_cast<std::size_t>((now_ - start) /
                                                                        std::chrono::seconds{1})];
         }
-        note_started(entries_[e].health[*s]);
+        record_start(entries_[e].health[*s]);
         attempt a{.who = who, .entry = e, .server = *s, .connection = 0, .began_at = now_, .used_from = {}};
         a.left = transaction ? kind.statements + 1 : 1;
         const request_number number = next_request_++;
@@ -251,7 +251,7 @@
                                            },
                                        .refused =
                                            [this, a](duration) {
-                                               note_left(entries_[a.entry].health[a.server]);
+                                               record_abandoned(entries_[a.entry].health[a.server]);
                                                give_up(a.who, a.entry);
                                            }};
         const int parts = (transaction ? transaction_parts : 1) * (policy_.a_third_of_patience ? 3 : 1);
@@ -300,7 +300,7 @@
         }
         pool_actions more;
         release_connection(pool, a.connection, true, now_ - a.used_from, now_, next_connection_, more);
-        note_succeeded(entries_[a.entry].health[a.server], now_ - a.used_from, now_);
+        record_success(entries_[a.entry].health[a.server], now_ - a.used_from, now_);
         carry_out(a.entry, a.server, more);
         finish(a);
     }
--- a/src/core/announcements.cpp
+++ b/src/core/announcements.cpp
@@ -224,7 +224,7 @@
     actions.emplace_back(report_event{.event = "server_started_again", .group = a.record.group, .server = id});
     const auto group = s.groups.find(known->second.group);
     if (group != s.groups.end()) {
-        take_restart(c, s, group->second, id, position_before, now, actions);
+        handle_server_restart(c, s, group->second, id, position_before, now, actions);
     }
 }
 
@@ -304,7 +304,7 @@
         const bool silent = latest == c.latest_announcements.end() || now - latest->second.received_at >= c.config.lost_server_timeout;
         const auto group = s.groups.find(server.group);
         const bool is_primary = group != s.groups.end() && group->second.primary == id;
-        if (silent && !is_primary && !looks_alive(c, id, now) && c.proposed_removals.insert(id).second) {
+        if (silent && !is_primary && !is_reported_alive(c, id, now) && c.proposed_removals.insert(id).second) {
             actions.emplace_back(propose_command{remove_server{id}});
         }
     }
--- a/src/core/control.cpp
+++ b/src/core/control.cpp
@@ -209,7 +209,7 @@
 void assign_observers(control_state& c, const cluster_state& s, time_point now) {
     std::vector<observer_candidate> live;
     for (const auto& [id, d] : c.daemons) {
-        if (reports(c, d, now)) {
+        if (has_recent_observations(c, d, now)) {
             live.push_back({.id = id, .domain = d.domain});
         }
     }
@@ -401,7 +401,7 @@
     std::erase_if(c.proposed_removals, [&s](const server_id& id) { return !s.servers.contains(id); });
     std::erase_if(c.proposed_groups, [&s](const group_id& id) { return s.groups.contains(id); });
     for (const auto& [id, group] : s.groups) {
-        follow_record(c, s, group, now);
+        sync_failover_with_record(c, s, group, now);
     }
     on_tick(c, s, now, actions);
 }
@@ -415,12 +415,12 @@
     for (const auto& [id, group] : s.groups) {
         const auto running = c.failovers.find(id);
         if (running != c.failovers.end()) {
-            advance(c, s, group, running->second, now, actions);
+            advance_failover(c, s, group, running->second, now, actions);
         } else if (group.phase == group_phase::fencing) {
-            follow_record(c, s, group, now);
-        } else if (looks_dead(c, group.primary, now) || has_primary_restarted(s, group)) {
+            sync_failover_with_record(c, s, group, now);
+        } else if (is_reported_dead(c, group.primary, now) || has_primary_restarted(s, group)) {
             begin_failover(c, s, group, false, {}, now, actions);
-        } else if (must_leave_primary(c, s, group, now, actions)) {
+        } else if (should_replace_leaving_primary(c, s, group, now, actions)) {
             c.last_switchover_at[id] = now;
             begin_failover(c, s, group, true, {}, now, actions);
         }
@@ -446,7 +446,7 @@
         if (group == s.groups.end()) {
             return;
         }
-        take_failover_answer(c, s, group->second, f, a, now, actions);
+        handle_failover_answer(c, s, group->second, f, a, now, actions);
         return;
     }
 }
@@ -465,7 +465,7 @@
     if (!target.value.empty()) {
         const auto server = s.servers.find(target);
         const bool is_member = server != s.servers.end() && server->second.group == group;
-        if (!is_member || !looks_alive(c, target, now)) {
+        if (!is_member || !is_reported_alive(c, target, now)) {
             return result_code::switchover_refused;
         }
     }
--- a/src/core/failover.cpp
+++ b/src/core/failover.cpp
@@ -14,7 +14,7 @@
 // [choice]
 //-----------------------------------------------------------------------------
 
-void note(control_actions& actions, const failover& f, const std::string& what, const group_id& group,
+void add_event(control_actions& actions, const failover& f, const std::string& what, const group_id& group,
           const server_id& server, time_point now) {
     actions.emplace_back(report_event{.event = what,
                                     .group = group,
@@ -23,13 +23,13 @@
                                     .planned = f.planned});
 }
 
-void enter(failover& f, failover_step step, time_point now) {
+void enter_step(failover& f, failover_step step, time_point now) {
     f.step = step;
     f.step_started_at = now;
 }
 
 // Prefers the longest log; among equals the operator's wish, then weight, then the name.
-bool better_candidate(const cluster_state& s, const failover& f, const server_answer& a,
+bool is_better_candidate(const cluster_state& s, const failover& f, const server_answer& a,
                       const server_answer& b) {
     if (a.timeline != b.timeline) {
         return a.timeline > b.timeline;
@@ -61,7 +61,7 @@
            });
 }
 
-bool may_lead(const control_state& c, const cluster_state& s, const group_record& group, const failover& f,
+bool is_eligible(const control_state& c, const cluster_state& s, const group_record& group, const failover& f,
               const server_answer& answer) {
     if (!answer.answered) {
         return false;
@@ -75,14 +75,14 @@
     return !lost_log || servers_of(s, group.id).size() <= 1;
 }
 
-const server_answer* longest_log(const control_state& c, const cluster_state& s, const group_record& group,
-                                 const failover& f, bool of_leaving) {
+const server_answer* find_longest_log(const control_state& c, const cluster_state& s, const group_record& group,
+                                 const failover& f, bool among_leaving) {
     const server_answer* best = nullptr;
     for (const auto& [id, answer] : f.answers) {
-        if (!may_lead(c, s, group, f, answer) || is_leaving(s, id) != of_leaving) {
+        if (!is_eligible(c, s, group, f, answer) || is_leaving(s, id) != among_leaving) {
             continue;
         }
-        if (best == nullptr || better_candidate(s, f, answer, *best)) {
+        if (best == nullptr || is_better_candidate(s, f, answer, *best)) {
             best = &answer;
         }
     }
@@ -91,39 +91,39 @@
 
 // A server that leaves goes on only where nobody else holds the log: the others can follow it then, and one
 // of them takes over when it has caught up.
-const server_answer* best_candidate(const control_state& c, const cluster_state& s, const group_record& group,
+const server_answer* find_failover_candidate(const control_state& c, const cluster_state& s, const group_record& group,
                                     const failover& f) {
-    const server_answer* best = longest_log(c, s, group, f, false);
-    return best != nullptr ? best : longest_log(c, s, group, f, true);
+    const server_answer* best = find_longest_log(c, s, group, f, false);
+    return best != nullptr ? best : find_longest_log(c, s, group, f, true);
 }
 
 // Who may take over from a living primary that holds so much: the operator's wish, if there is one.
 const server_answer* find_successor(const control_state& c, const cluster_state& s, const group_record& group,
-                                    const failover& f, log_position held) {
+                                    const failover& f, log_position required_position) {
     const server_answer* best = nullptr;
     for (const auto& [id, answer] : f.answers) {
         const bool wanted = !f.requested_target || *f.requested_target == id;
-        const bool holds_all = may_lead(c, s, group, f, answer) && answer.position >= held;
+        const bool holds_all = is_eligible(c, s, group, f, answer) && answer.position >= required_position;
         if (id == group.primary || !wanted || !holds_all || is_leaving(s, id)) {
             continue;
         }
-        if (best == nullptr || better_candidate(s, f, answer, *best)) {
+        if (best == nullptr || is_better_candidate(s, f, answer, *best)) {
             best = &answer;
         }
     }
     return best;
 }
 
-const server_answer* answer_of_primary(const group_record& group, const failover& f) {
+const server_answer* find_primary_answer(const group_record& group, const failover& f) {
     const auto found = f.answers.find(group.primary);
     return found != f.answers.end() && found->second.answered ? &found->second : nullptr;
 }
 
 // Writes are closed for no longer than the approach took, which is about the replication lag, and
 // switchover_timeout.
-bool has_waited_long(const control_state& c, const failover& f, time_point now) {
-    const duration approach = f.fence_proposed_at - f.started_at;
-    return now - f.fence_proposed_at >= approach + c.config.switchover_timeout;
+bool has_catch_up_timed_out(const control_state& c, const failover& f, time_point now) {
+    const duration catch_up_time = f.fence_proposed_at - f.started_at;
+    return now - f.fence_proposed_at >= catch_up_time + c.config.switchover_timeout;
 }
 
 // A promotion that an earlier leader ordered is found done.
@@ -135,32 +135,32 @@
 }
 
 // Nobody who acknowledges writes is left, so what the old primary holds now is all that counts.
-const server_answer* planned_candidate(const control_state& c, const cluster_state& s,
+const server_answer* find_switchover_candidate(const control_state& c, const cluster_state& s,
                                        const group_record& group, const failover& f, time_point now) {
     if (const server_answer* promoted = find_promoted(group, f)) {
         return promoted;
     }
-    const server_answer* old = answer_of_primary(group, f);
+    const server_answer* old = find_primary_answer(group, f);
     if (old == nullptr) {
         return nullptr;
     }
     const server_answer* successor = find_successor(c, s, group, f, old->position);
-    return successor == nullptr && has_waited_long(c, f, now) ? old : successor;
+    return successor == nullptr && has_catch_up_timed_out(c, f, now) ? old : successor;
 }
 
 //-----------------------------------------------------------------------------
 // [steps]
 //-----------------------------------------------------------------------------
 
-void ask_positions(control_state& c, const cluster_state& s, const group_record& group, failover& f,
+void query_positions(control_state& c, const cluster_state& s, const group_record& group, failover& f,
                    failover_step step, time_point now, control_actions& actions) {
-    enter(f, step, now);
+    enter_step(f, step, now);
     f.answers.clear();
     f.pending_operations.clear();
     // The old primary may go on, under the next term, where most observers have it back: its log is whole.
-    const bool primary_is_out = !f.planned && looks_dead(c, group.primary, now);
+    const bool skip_primary = !f.planned && is_reported_dead(c, group.primary, now);
     for (const server_record& server : servers_of(s, group.id)) {
-        if ((server.id == group.primary && primary_is_out) || f.failed_candidates.contains(server.id)) {
+        if ((server.id == group.primary && skip_primary) || f.failed_candidates.contains(server.id)) {
             continue;
         }
         const std::uint64_t operation = c.next_operation++;
@@ -169,21 +169,21 @@
     }
 }
 
-void ask_replicas(control_state& c, const cluster_state& s, const group_record& group, failover& f,
+void query_replicas(control_state& c, const cluster_state& s, const group_record& group, failover& f,
                   time_point now, control_actions& actions) {
-    ask_positions(c, s, group, f, failover_step::probing, now, actions);
+    query_positions(c, s, group, f, failover_step::probing, now, actions);
 }
 
 // A planned switch asks again soon at first, and seldom once the replicas are seen to be far behind: about
 // twelve times in the 7 s that a leaving server has by default.
-bool may_ask_again(const control_state& c, const failover& f, time_point since, time_point now) {
-    const duration answered_within = f.pending_operations.empty() ? duration{0} : c.config.probe_timeout;
-    const duration pause = std::max(c.config.catch_up_interval, (f.step_started_at - since) / 2);
-    return now - f.step_started_at >= std::max(answered_within, pause);
+bool may_query_again(const control_state& c, const failover& f, time_point since, time_point now) {
+    const duration answer_timeout = f.pending_operations.empty() ? duration{0} : c.config.probe_timeout;
+    const duration interval = std::max(c.config.catch_up_interval, (f.step_started_at - since) / 2);
+    return now - f.step_started_at >= std::max(answer_timeout, interval);
 }
 
-void fence(const group_record& group, failover& f, time_point now, control_actions& actions) {
-    enter(f, failover_step::fencing, now);
+void propose_fence(const group_record& group, failover& f, time_point now, control_actions& actions) {
+    enter_step(f, failover_step::fencing, now);
     f.fence_proposed_at = now;
     f.pending_operations.clear();
     group_record next = group;
@@ -192,117 +192,117 @@
         set_group{.expected_term = group.term, .expected_phase = group_phase::serving, .next = next}});
 }
 
-void publish(const cluster_state& s, const group_record& group, failover& f, const server_answer& winner,
+void propose_new_primary(const cluster_state& s, const group_record& group, failover& f, const server_answer& new_primary,
              time_point now, control_actions& actions) {
-    enter(f, failover_step::publishing, now);
+    enter_step(f, failover_step::publishing, now);
     group_record next = group;
     next.term = group.term + 1;
-    next.primary = winner.server;
-    const auto record = s.servers.find(winner.server);
+    next.primary = new_primary.server;
+    const auto record = s.servers.find(new_primary.server);
     next.primary_start_number = record == s.servers.end() ? 0 : record->second.start_number;
     next.phase = group_phase::serving;
-    next.timeline = winner.timeline;
-    next.term_starts.push_back({.term = next.term, .position = winner.position});
+    next.timeline = new_primary.timeline;
+    next.term_starts.push_back({.term = next.term, .position = new_primary.position});
     actions.emplace_back(propose_command{
         set_group{.expected_term = group.term, .expected_phase = group_phase::fencing, .next = next}});
-    note(actions, f, "promoted", group.id, winner.server, now);
+    add_event(actions, f, "promoted", group.id, new_primary.server, now);
 }
 
 // Each order carries a token above all earlier ones, so that one whose answer was lost cannot be carried out
 // once a later one has been seen.
-void order_promotion(control_state& c, const cluster_state& s, const group_record& group, failover& f,
+void request_promotion(control_state& c, const cluster_state& s, const group_record& group, failover& f,
                      std::uint64_t timeline, time_point now, control_actions& actions) {
     const std::uint64_t operation = c.next_operation++;
     f.pending_operations = {operation};
     f.promotion_timeline = timeline;
-    note(actions, f, "promoting", group.id, *f.candidate, now);
+    add_event(actions, f, "promoting", group.id, *f.candidate, now);
     actions.emplace_back(promote_server{.operation = operation,
                                         .server = s.servers.at(*f.candidate),
                                         .timeline = timeline,
                                         .token = make_monotonic_number(c, operation)});
 }
 
-void promote_best(control_state& c, const cluster_state& s, const group_record& group, failover& f,
+void promote_best_candidate(control_state& c, const cluster_state& s, const group_record& group, failover& f,
                   time_point now, control_actions& actions) {
     const server_answer* best =
-        f.planned ? planned_candidate(c, s, group, f, now) : best_candidate(c, s, group, f);
+        f.planned ? find_switchover_candidate(c, s, group, f, now) : find_failover_candidate(c, s, group, f);
     if (best == nullptr) {
         return;
     }
     if (best->is_primary && !c.config.always_promote) {
         // The old primary was chosen again, or an earlier leader's promotion is found done.
-        publish(s, group, f, *best, now, actions);
+        propose_new_primary(s, group, f, *best, now, actions);
         return;
     }
-    enter(f, failover_step::promoting, now);
+    enter_step(f, failover_step::promoting, now);
     f.candidate = best->server;
-    order_promotion(c, s, group, f, best->timeline, now, actions);
+    request_promotion(c, s, group, f, best->timeline, now, actions);
 }
 
 // The primary is alive by its observers' word, and does not answer the leader. Without its position nobody
 // can be shown to hold all that it has acknowledged, so it goes on.
-void give_up_switch(control_state& c, const cluster_state& s, const group_record& group, failover& f,
+void abort_switchover(control_state& c, const cluster_state& s, const group_record& group, failover& f,
                     time_point now, control_actions& actions) {
-    note(actions, f, "switchover_given_up", group.id, group.primary, now);
-    const server_answer as_before{.server = group.primary,
+    add_event(actions, f, "switchover_given_up", group.id, group.primary, now);
+    const server_answer unchanged_primary{.server = group.primary,
                                   .answered = true,
                                   .is_primary = true,
                                   .timeline = group.timeline,
                                   .position = std::numeric_limits<log_position>::max()};
     if (!c.config.always_promote) {
-        publish(s, group, f, as_before, now, actions);
+        propose_new_primary(s, group, f, unchanged_primary, now, actions);
         return;
     }
-    enter(f, failover_step::promoting, now);
+    enter_step(f, failover_step::promoting, now);
     f.candidate = group.primary;
-    order_promotion(c, s, group, f, group.timeline, now, actions);
+    request_promotion(c, s, group, f, group.timeline, now, actions);
 }
 
 // Before the fence, with writes going on: fences once a successor holds what the primary held at the start. A
 // replica that lags evenly needs as long for the rest, so writes are closed no longer than has been waited.
-void approach(control_state& c, const cluster_state& s, const group_record& group, failover& f,
+void advance_catch_up(control_state& c, const cluster_state& s, const group_record& group, failover& f,
               time_point now, control_actions& actions) {
-    const server_answer* primary = answer_of_primary(group, f);
+    const server_answer* primary = find_primary_answer(group, f);
     if (!f.catch_up_position && primary != nullptr) {
         f.catch_up_position = primary->position;
     }
-    const bool alive = !looks_dead(c, group.primary, now) && !has_primary_restarted(s, group);
+    const bool alive = !is_reported_dead(c, group.primary, now) && !has_primary_restarted(s, group);
     if (!alive) {
         begin_failover(c, s, group, false, {}, now, actions);
     } else if (f.catch_up_position && find_successor(c, s, group, f, *f.catch_up_position) != nullptr) {
-        fence(group, f, now, actions);
+        propose_fence(group, f, now, actions);
     } else if (now - f.started_at >= c.config.switchover_timeout && !is_leaving(s, group.primary)) {
-        note(actions, f, "switchover_given_up", group.id, group.primary, now);
+        add_event(actions, f, "switchover_given_up", group.id, group.primary, now);
         c.failovers.erase(group.id);
-    } else if (may_ask_again(c, f, f.started_at, now)) {
-        ask_positions(c, s, group, f, failover_step::catching_up, now, actions);
+    } else if (may_query_again(c, f, f.started_at, now)) {
+        query_positions(c, s, group, f, failover_step::catching_up, now, actions);
     }
 }
 
 // Behind the fence: promotes as soon as the answers allow it, and asks again until then.
-void probe_replicas(control_state& c, const cluster_state& s, const group_record& group, failover& f,
+void advance_probing(control_state& c, const cluster_state& s, const group_record& group, failover& f,
                     time_point now, control_actions& actions) {
-    if (f.planned && looks_dead(c, group.primary, now)) {
+    if (f.planned && is_reported_dead(c, group.primary, now)) {
         f.planned = false; // as after any other death
-        ask_replicas(c, s, group, f, now, actions);
+        query_replicas(c, s, group, f, now, actions);
         return;
     }
-    if (f.planned && f.requested_target && has_waited_long(c, f, now)) {
+    if (f.planned && f.requested_target && has_catch_up_timed_out(c, f, now)) {
         f.requested_target.reset(); // anyone who holds everything may go on
     }
     if (f.pending_operations.empty() || now - f.step_started_at >= c.config.probe_timeout) {
-        promote_best(c, s, group, f, now, actions);
+        promote_best_candidate(c, s, group, f, now, actions);
     }
     if (f.step != failover_step::probing) {
         return;
     }
-    if (f.planned && has_waited_long(c, f, now) && answer_of_primary(group, f) == nullptr) {
-        give_up_switch(c, s, group, f, now, actions);
-    } else if (f.planned && may_ask_again(c, f, f.fence_proposed_at, now)) {
-        ask_replicas(c, s, group, f, now, actions);
+    if (f.planned && has_catch_up_timed_out(c, f, now) && find_primary_answer(group, f) == nullptr) {
+        abort_switchover(c, s, group, f, now, actions);
+    } else if (f.planned && may_query_again(c, f, f.fence_proposed_at, now)) {
+        query_replicas(c, s, group, f, now, actions);
     } else if (now - f.step_started_at >= c.config.probe_timeout + c.config.retry_delay) {
         f.failed_candidates.clear(); // one that failed before may be back
-        ask_replicas(c, s, group, f, now, actions);
+        query_replicas(c, s, group, f, now, actions);
     }
 }
 
@@ -312,28 +312,28 @@
 // [detection]
 //-----------------------------------------------------------------------------
 
-bool reports(const control_state& c, const daemon_state& d, time_point now) {
+bool has_recent_observations(const control_state& c, const daemon_state& d, time_point now) {
     return now - d.last_renewal_at <= c.config.max_observation_age;
 }
 
-bool looks_dead(const control_state& c, const server_id& server, time_point now) {
+bool is_reported_dead(const control_state& c, const server_id& server, time_point now) {
     const auto observers = c.observers.find(server);
     if (observers == c.observers.end() || observers->second.empty()) {
         return false;
     }
-    std::size_t dead = 0;
+    std::size_t dead_reports = 0;
     for (const instance_id& id : observers->second) {
         const auto d = c.daemons.find(id);
-        if (d == c.daemons.end() || !reports(c, d->second, now)) {
+        if (d == c.daemons.end() || !has_recent_observations(c, d->second, now)) {
             continue;
         }
-        const auto seen = d->second.observations.find(server);
-        dead += (seen != d->second.observations.end() && !seen->second.alive) ? 1 : 0;
+        const auto observation = d->second.observations.find(server);
+        dead_reports += (observation != d->second.observations.end() && !observation->second.alive) ? 1 : 0;
     }
-    return dead >= observers->second.size() / 2 + 1;
+    return dead_reports >= observers->second.size() / 2 + 1;
 }
 
-bool looks_alive(const control_state& c, const server_id& server, time_point now) {
+bool is_reported_alive(const control_state& c, const server_id& server, time_point now) {
     return std::any_of(c.daemons.begin(), c.daemons.end(), [&](const auto& d) {
         const auto seen = d.second.observations.find(server);
         return seen != d.second.observations.end() && seen->second.alive &&
@@ -346,27 +346,27 @@
     return server_settings(s.current_table, server).leaving || (known != s.servers.end() && known->second.leaving);
 }
 
-bool must_leave_primary(control_state& c, const cluster_state& s, const group_record& group, time_point now,
+bool should_replace_leaving_primary(control_state& c, const cluster_state& s, const group_record& group, time_point now,
                         control_actions& actions) {
     if (!is_leaving(s, group.primary)) {
         c.groups_without_successor.erase(group.id);
         return false;
     }
-    const auto last = c.last_switchover_at.find(group.id);
-    if (last != c.last_switchover_at.end() && now - last->second < c.config.switchover_retry_interval) {
+    const auto last_attempt = c.last_switchover_at.find(group.id);
+    if (last_attempt != c.last_switchover_at.end() && now - last_attempt->second < c.config.switchover_retry_interval) {
         return false;
     }
     const auto servers = servers_of(s, group.id);
-    const bool succeeded = std::any_of(servers.begin(), servers.end(), [&](const server_record& server) {
-        return server.id != group.primary && !is_leaving(s, server.id) && looks_alive(c, server.id, now);
+    const bool has_successor = std::any_of(servers.begin(), servers.end(), [&](const server_record& server) {
+        return server.id != group.primary && !is_leaving(s, server.id) && is_reported_alive(c, server.id, now);
     });
-    if (succeeded) {
+    if (has_successor) {
         c.groups_without_successor.erase(group.id);
     } else if (c.groups_without_successor.insert(group.id).second) {
         actions.emplace_back(report_event{
             .event = "leaving_primary_has_no_successor", .group = group.id, .server = group.primary});
     }
-    return succeeded;
+    return has_successor;
 }
 
 //-----------------------------------------------------------------------------
@@ -381,21 +381,21 @@
     if (!target.value.empty()) {
         f.requested_target = target;
     }
-    note(actions, f, planned ? "switchover_started" : "primary_suspected", group.id, group.primary, now);
-    failover& begun = c.failovers[group.id];
-    begun = std::move(f);
+    add_event(actions, f, planned ? "switchover_started" : "primary_suspected", group.id, group.primary, now);
+    failover& started = c.failovers[group.id];
+    started = std::move(f);
     if (planned) {
-        ask_positions(c, s, group, begun, failover_step::catching_up, now, actions);
+        query_positions(c, s, group, started, failover_step::catching_up, now, actions);
     } else {
-        fence(group, begun, now, actions);
+        propose_fence(group, started, now, actions);
     }
 }
 
-void follow_record(control_state& c, const cluster_state& s, const group_record& group, time_point now) {
+void sync_failover_with_record(control_state& c, const cluster_state& s, const group_record& group, time_point now) {
     auto found = c.failovers.find(group.id);
     if (group.phase == group_phase::serving) {
-        const bool has_begun = found != c.failovers.end() && found->second.step > failover_step::fencing;
-        if (has_begun) {
+        const bool is_past_fencing = found != c.failovers.end() && found->second.step > failover_step::fencing;
+        if (is_past_fencing) {
             c.failovers.erase(found);
         }
         return;
@@ -409,76 +409,76 @@
     }
     if (found->second.step == failover_step::fencing) {
         found->second.fence_revision = s.revision;
-        enter(found->second, failover_step::revoking, now);
+        enter_step(found->second, failover_step::revoking, now);
     }
 }
 
-void advance(control_state& c, const cluster_state& s, const group_record& group, failover& f, time_point now,
+void advance_failover(control_state& c, const cluster_state& s, const group_record& group, failover& f, time_point now,
              control_actions& actions) {
     switch (f.step) {
-    case failover_step::catching_up: approach(c, s, group, f, now, actions); return;
+    case failover_step::catching_up: advance_catch_up(c, s, group, f, now, actions); return;
     case failover_step::fencing:
     case failover_step::publishing: return; // waits for the log
     case failover_step::revoking:
         if (is_in_force(c, s, f.fence_revision, now)) {
-            note(actions, f, "writes_revoked", group.id, group.primary, now);
-            ask_replicas(c, s, group, f, now, actions);
+            add_event(actions, f, "writes_revoked", group.id, group.primary, now);
+            query_replicas(c, s, group, f, now, actions);
         }
         return;
-    case failover_step::probing: probe_replicas(c, s, group, f, now, actions); return;
+    case failover_step::probing: advance_probing(c, s, group, f, now, actions); return;
     case failover_step::promoting:
         if (now - f.step_started_at >= c.config.promotion_timeout && f.candidate) {
             f.failed_candidates.insert(*f.candidate);
-            ask_replicas(c, s, group, f, now, actions);
+            query_replicas(c, s, group, f, now, actions);
         }
         return;
     }
 }
 
-void take_restart(control_state& c, const cluster_state& s, const group_record& group,
-                  const server_id& server, log_position held, time_point now, control_actions& actions) {
+void handle_server_restart(control_state& c, const cluster_state& s, const group_record& group,
+                  const server_id& server, log_position highest_position, time_point now, control_actions& actions) {
     const auto running = c.failovers.find(group.id);
     const bool was_primary = group.primary == server;
     if (running == c.failovers.end()) {
         if (was_primary && group.phase == group_phase::serving) {
             begin_failover(c, s, group, false, {}, now, actions);
-            c.failovers[group.id].position_before_restart = held;
+            c.failovers[group.id].position_before_restart = highest_position;
         }
         return;
     }
     failover& f = running->second;
     if (was_primary && f.step == failover_step::catching_up) {
         begin_failover(c, s, group, false, {}, now, actions);
-        f.position_before_restart = held;
+        f.position_before_restart = highest_position;
         return;
     }
     f.answers.erase(server);
     if (was_primary) {
-        f.position_before_restart = std::max(f.position_before_restart, held);
+        f.position_before_restart = std::max(f.position_before_restart, highest_position);
         f.planned = false; // what it holds now no longer tells what it acknowledged
     }
     if (f.step == failover_step::promoting && f.candidate == server) {
         f.failed_candidates.insert(server);
-        ask_replicas(c, s, group, f, now, actions);
+        query_replicas(c, s, group, f, now, actions);
     }
 }
 
-void take_failover_answer(control_state& c, const cluster_state& s, const group_record& group, failover& f,
+void handle_failover_answer(control_state& c, const cluster_state& s, const group_record& group, failover& f,
                           const server_answer& a, time_point now, control_actions& actions) {
     if (f.step == failover_step::probing || f.step == failover_step::catching_up) {
         f.answers[a.server] = a;
-        advance(c, s, group, f, now, actions);
+        advance_failover(c, s, group, f, now, actions);
     } else if (f.step == failover_step::promoting) {
-        const bool new_reign = a.timeline > group.timeline;
-        const bool same_reign =
+        const bool has_new_timeline = a.timeline > group.timeline;
+        const bool is_repromoted_primary =
             c.config.always_promote && a.server == group.primary && a.timeline == group.timeline;
-        if (a.answered && a.is_primary && (new_reign || same_reign)) {
-            publish(s, group, f, a, now, actions);
+        if (a.answered && a.is_primary && (has_new_timeline || is_repromoted_primary)) {
+            propose_new_primary(s, group, f, a, now, actions);
         } else if (a.outcome_unknown && s.servers.contains(a.server) && now - f.step_started_at < c.config.promotion_timeout) {
-            order_promotion(c, s, group, f, f.promotion_timeline, now, actions);
+            request_promotion(c, s, group, f, f.promotion_timeline, now, actions);
         } else {
             f.failed_candidates.insert(a.server);
-            ask_replicas(c, s, group, f, now, actions);
+            query_replicas(c, s, group, f, now, actions);
         }
     }
 }
--- a/src/core/failover.hpp
+++ b/src/core/failover.hpp
@@ -10,21 +10,21 @@
 //-----------------------------------------------------------------------------
 
 // The daemon was heard lately, so its observations count.
-bool reports(const control_state& c, const daemon_state& d, time_point now);
+bool has_recent_observations(const control_state& c, const daemon_state& d, time_point now);
 
 // A majority of the server's observers call it dead, so that neither a one-way cut nor one sick observer is
 // taken for a death.
-bool looks_dead(const control_state& c, const server_id& server, time_point now);
+bool is_reported_dead(const control_state& c, const server_id& server, time_point now);
 
 // Anyone who was heard lately has an answer of it.
-bool looks_alive(const control_state& c, const server_id& server, time_point now);
+bool is_reported_alive(const control_state& c, const server_id& server, time_point now);
 
 // By its own agreed word, or the operators'.
 bool is_leaving(const cluster_state& s, const server_id& server);
 
 // The primary says that it is leaving, and another server of the group can take over. That none can is noted
 // once.
-bool must_leave_primary(control_state& c, const cluster_state& s, const group_record& group, time_point now,
+bool should_replace_leaving_primary(control_state& c, const cluster_state& s, const group_record& group, time_point now,
                         control_actions& actions);
 
 //-----------------------------------------------------------------------------
@@ -36,19 +36,19 @@
                     const server_id& target, time_point now, control_actions& actions);
 
 // Takes up what the log says: a fence that committed, a finished failover, an earlier leader's open one.
-void follow_record(control_state& c, const cluster_state& s, const group_record& group, time_point now);
+void sync_failover_with_record(control_state& c, const cluster_state& s, const group_record& group, time_point now);
 
 // Time passed, or something that the failover waits for has come.
-void advance(control_state& c, const cluster_state& s, const group_record& group, failover& f, time_point now,
+void advance_failover(control_state& c, const cluster_state& s, const group_record& group, failover& f, time_point now,
              control_actions& actions);
 
 // A server that was asked for its position, or ordered to promote, has answered.
-void take_failover_answer(control_state& c, const cluster_state& s, const group_record& group, failover& f,
+void handle_failover_answer(control_state& c, const cluster_state& s, const group_record& group, failover& f,
                           const server_answer& a, time_point now, control_actions& actions);
 
 // A server of the group has started again: nothing that it answered counts, and if it was the candidate,
 // another one is looked for. `held`: the highest position that it was seen with before.
-void take_restart(control_state& c, const cluster_state& s, const group_record& group,
-                  const server_id& server, log_position held, time_point now, control_actions& actions);
+void handle_server_restart(control_state& c, const cluster_state& s, const group_record& group,
+                  const server_id& server, log_position highest_position, time_point now, control_actions& actions);
 
 } // namespace larchpin
--- a/src/core/health.cpp
+++ b/src/core/health.cpp
@@ -7,13 +7,13 @@
 namespace {
 
 constexpr unsigned failures_to_eject = 3;
-constexpr duration first_ejection = std::chrono::milliseconds{500};
-constexpr unsigned max_doublings = 5;
-constexpr duration ramp_time = std::chrono::seconds{3};
-constexpr double lowest_ramp = 0.1;
-constexpr duration least_failed_latency = std::chrono::milliseconds{20};
-constexpr duration most_failed_latency = std::chrono::seconds{2};
-constexpr int smoothing = 8;
+constexpr duration base_ejection_time = std::chrono::milliseconds{500};
+constexpr unsigned max_ejection_doublings = 5;
+constexpr duration slow_start_window = std::chrono::seconds{3};
+constexpr double min_slow_start_factor = 0.1;
+constexpr duration min_failure_latency = std::chrono::milliseconds{20};
+constexpr duration max_failure_latency = std::chrono::seconds{2};
+constexpr int smoothing_divisor = 8;
 // From the highest penalty (2 s) to a usual answer's time (20 ms) in seven halvings: a server that has
 // recovered is tried again within 3.5 s, about as long as its ramp after an ejection takes.
 constexpr duration penalty_half_life = std::chrono::milliseconds{500};
@@ -22,38 +22,38 @@
 
 } // namespace
 
-void note_started(server_health& h) {
+void record_start(server_health& h) {
     ++h.outstanding;
 }
 
-void note_succeeded(server_health& h, duration took, time_point now) {
+void record_success(server_health& h, duration took, time_point now) {
     h.outstanding -= h.outstanding > 0 ? 1 : 0;
-    h.failures = 0;
-    h.latency = h.latency.count() == 0 ? took : h.latency + (took - h.latency) / smoothing;
+    h.consecutive_failures = 0;
+    h.latency = h.latency.count() == 0 ? took : h.latency + (took - h.latency) / smoothing_divisor;
     h.penalty /= 2;
-    if (now - h.ejected_until > ramp_time) {
-        h.ejections = 0;
+    if (now - h.ejected_until > slow_start_window) {
+        h.consecutive_ejections = 0;
     }
 }
 
-void note_failed(server_health& h, time_point now) {
+void record_failure(server_health& h, time_point now) {
     h.outstanding -= h.outstanding > 0 ? 1 : 0;
     h.penalty =
-        std::clamp(expected_latency(h, now) * 2, least_failed_latency, most_failed_latency) - h.latency;
+        std::clamp(expected_latency(h, now) * 2, min_failure_latency, max_failure_latency) - h.latency;
     h.penalty = std::max(h.penalty, duration{0});
     h.penalty_at = now;
     if (now < h.ejected_until) {
         return; // the rest of what was running there when it was ejected
     }
-    if (++h.failures < failures_to_eject) {
+    if (++h.consecutive_failures < failures_to_eject) {
         return;
     }
-    h.failures = 0;
-    h.ejected_until = now + first_ejection * (1U << std::min(h.ejections, max_doublings));
-    ++h.ejections;
+    h.consecutive_failures = 0;
+    h.ejected_until = now + base_ejection_time * (1U << std::min(h.consecutive_ejections, max_ejection_doublings));
+    ++h.consecutive_ejections;
 }
 
-void note_left(server_health& h) {
+void record_abandoned(server_health& h) {
     h.outstanding -= h.outstanding > 0 ? 1 : 0;
 }
 
@@ -64,20 +64,20 @@
            duration{static_cast<std::int64_t>(static_cast<double>(h.penalty.count()) * std::exp2(-halvings))};
 }
 
-double read_ramp(const server_health& h, time_point now) {
-    if (h.ejections == 0) {
+double slow_start_factor(const server_health& h, time_point now) {
+    if (h.consecutive_ejections == 0) {
         return 1.0;
     }
     const auto since = static_cast<double>((now - h.ejected_until).count());
-    const double part = since / static_cast<double>(ramp_time.count());
-    return std::clamp(part, lowest_ramp, 1.0);
+    const double part = since / static_cast<double>(slow_start_window.count());
+    return std::clamp(part, min_slow_start_factor, 1.0);
 }
 
-void note_request(retry_budget& b) {
+void refill_for_request(retry_budget& b) {
     b.tokens = std::min(max_tokens, b.tokens + tokens_per_request);
 }
 
-bool take_retry(retry_budget& b) {
+bool try_take_retry(retry_budget& b) {
     if (b.tokens < 1) {
         return false;
     }
--- a/src/core/health.hpp
+++ b/src/core/health.hpp
@@ -14,31 +14,31 @@
     duration penalty{0};      // of failures, on top of it; see expected_latency()
     time_point penalty_at{};  // of the last failure
     unsigned outstanding = 0; // requests running or waiting there
-    unsigned failures = 0;    // in a row
-    unsigned ejections = 0;   // in a row, without a success after the ramp
+    unsigned consecutive_failures = 0;    // in a row
+    unsigned consecutive_ejections = 0;   // in a row, without a success after the ramp
     time_point ejected_until{};
-    time_point asked_at{}; // the last request that went there
+    time_point last_request_at{}; // the last request that went there
     auto operator<=>(const server_health&) const = default;
 };
 
-void note_started(server_health& h);
-void note_succeeded(server_health& h, duration took, time_point now);
-void note_failed(server_health& h, time_point now);
+void record_start(server_health& h);
+void record_success(server_health& h, duration took, time_point now);
+void record_failure(server_health& h, time_point now);
 // The request went away before it reached the server, or its end says nothing of it.
-void note_left(server_health& h);
+void record_abandoned(server_health& h);
 
 // The smoothed latency and what is left of the penalty.
 duration expected_latency(const server_health& h, time_point now);
 
 // 0..1: the part of its usual share that the server gets at this moment.
-double read_ramp(const server_health& h, time_point now);
+double slow_start_factor(const server_health& h, time_point now);
 
 struct retry_budget {
     double tokens = 10; // retries that may be made now
     auto operator<=>(const retry_budget&) const = default;
 };
 
-void note_request(retry_budget& b);
-bool take_retry(retry_budget& b); // false: none left, give the caller its answer
+void refill_for_request(retry_budget& b);
+bool try_take_retry(retry_budget& b); // false: none left, give the caller its answer
 
 } // namespace larchpin
--- a/src/core/lenders.cpp
+++ b/src/core/lenders.cpp
@@ -6,42 +6,42 @@
 namespace {
 
 // A lender that did not answer is left alone for so long: longer than a restart takes.
-constexpr duration silent_pause = std::chrono::milliseconds{500};
+constexpr duration silent_duration = std::chrono::milliseconds{500};
 // Three in the time that a lender which has started again needs to be found (0.3 s).
 constexpr duration ping_interval = std::chrono::milliseconds{100};
 // A lender without a connection tries for one every 50 to 200 ms (core/pool). Asked by each request
 // meanwhile, it would spend its processor on refusals.
-constexpr duration without_pause = std::chrono::milliseconds{100};
+constexpr duration no_connection_duration = std::chrono::milliseconds{100};
 
 // Between two failure domains a round trip takes a few milliseconds; more than this beyond the quickest is
 // worth another lender.
-constexpr duration slow_excess = std::chrono::milliseconds{15};
-constexpr int slow_factor = 4;
-constexpr int excess_smoothing = 8;
-constexpr std::size_t max_excesses = 2000;
-
-int rank_of(const lender_book& b, const server_id& server, const lender& l, time_point now) {
-    const auto last = b.lent_last.find(server);
-    if (last != b.lent_last.end() && last->second == l.address) {
+constexpr duration slow_delay_margin = std::chrono::milliseconds{15};
+constexpr int slow_delay_factor = 4;
+constexpr int smoothing_divisor = 8;
+constexpr std::size_t max_round_trip_delays = 2000;
+
+int preference_class(const lender_tracker& tracker, const server_id& server, const lender& l, time_point now) {
+    const auto last = tracker.last_lender.find(server);
+    if (last != tracker.last_lender.end() && last->second == l.address) {
         return -1;
     }
-    return (l.lost ? 4 : 0) + (is_silent(b, l.address, now) ? 2 : 0) + (l.far ? 1 : 0);
+    return (l.lost ? 4 : 0) + (is_silent(tracker, l.address, now) ? 2 : 0) + (l.in_other_domain ? 1 : 0);
 }
 
 } // namespace
 
-void note_asked(lender_book& b, const std::string& address, time_point now) {
-    note_asked(b.reach[address], now);
+void record_request(lender_tracker& tracker, const std::string& address, time_point now) {
+    record_request(tracker.reachability_by_address[address], now);
 }
 
-std::vector<std::string> take_pings(lender_book& b, time_point now) {
+std::vector<std::string> take_due_pings(lender_tracker& tracker, time_point now) {
     std::vector<std::string> pings;
-    for (auto& [address, r] : b.reach) {
-        const bool silent = b.silent_until.contains(address);
+    for (auto& [address, r] : tracker.reachability_by_address) {
+        const bool silent = tracker.silent_until.contains(address);
         if (!silent && !is_unreachable(r, now)) {
             continue;
         }
-        note_silent(b, address, now); // stays so until it is heard
+        mark_silent(tracker, address, now); // stays so until it is heard
         if (now >= r.next_probe) {
             r.next_probe = now + ping_interval;
             pings.push_back(address);
@@ -50,69 +50,69 @@
     return pings;
 }
 
-bool note_silent(lender_book& b, const std::string& address, time_point now) {
-    const bool news = !b.silent_until.contains(address);
-    b.silent_until[address] = now + silent_pause;
-    return news;
+bool mark_silent(lender_tracker& tracker, const std::string& address, time_point now) {
+    const bool is_new = !tracker.silent_until.contains(address);
+    tracker.silent_until[address] = now + silent_duration;
+    return is_new;
 }
 
-bool note_heard(lender_book& b, const std::string& address) {
-    note_answered(b.reach[address]);
-    return b.silent_until.erase(address) > 0;
+bool mark_responsive(lender_tracker& tracker, const std::string& address) {
+    record_answer(tracker.reachability_by_address[address]);
+    return tracker.silent_until.erase(address) > 0;
 }
 
-void note_without_connection(lender_book& b, const server_id& server, const std::string& address,
+void mark_without_connection(lender_tracker& tracker, const server_id& server, const std::string& address,
                              time_point now) {
-    b.without_until[{server, address}] = now + without_pause;
+    tracker.no_connection_until[{server, address}] = now + no_connection_duration;
 }
 
-void note_excess(lender_book& b, const std::string& address, duration excess) {
-    const auto known = b.excess.find(address);
-    if (known != b.excess.end()) {
-        known->second += (excess - known->second) / excess_smoothing;
-    } else if (b.excess.size() < max_excesses) {
-        b.excess[address] = excess;
+void record_round_trip_delay(lender_tracker& tracker, const std::string& address, duration delay) {
+    const auto known = tracker.round_trip_delays.find(address);
+    if (known != tracker.round_trip_delays.end()) {
+        known->second += (delay - known->second) / smoothing_divisor;
+    } else if (tracker.round_trip_delays.size() < max_round_trip_delays) {
+        tracker.round_trip_delays[address] = delay;
     }
 }
 
-bool is_slow(const lender_book& b, const std::string& address) {
-    const auto known = b.excess.find(address);
-    if (known == b.excess.end()) {
+bool is_slow(const lender_tracker& tracker, const std::string& address) {
+    const auto known = tracker.round_trip_delays.find(address);
+    if (known == tracker.round_trip_delays.end()) {
         return false;
     }
-    const auto quickest = std::min_element(b.excess.begin(), b.excess.end(),
+    const auto quickest = std::min_element(tracker.round_trip_delays.begin(), tracker.round_trip_delays.end(),
                                            [](const auto& x, const auto& y) { return x.second < y.second; });
-    return known->second > quickest->second + slow_excess && known->second > quickest->second * slow_factor;
+    return known->second > quickest->second + slow_delay_margin && known->second > quickest->second * slow_delay_factor;
 }
 
-bool is_silent(const lender_book& b, const std::string& address, time_point now) {
-    const auto known = b.silent_until.find(address);
-    return known != b.silent_until.end() && now < known->second;
+bool is_silent(const lender_tracker& tracker, const std::string& address, time_point now) {
+    const auto known = tracker.silent_until.find(address);
+    return known != tracker.silent_until.end() && now < known->second;
 }
 
-bool is_without_connection(const lender_book& b, const server_id& server, const std::string& address,
+bool is_without_connection(const lender_tracker& tracker, const server_id& server, const std::string& address,
                            time_point now) {
-    const auto known = b.without_until.find({server, address});
-    return known != b.without_until.end() && now < known->second;
+    const auto known = tracker.no_connection_until.find({server, address});
+    return known != tracker.no_connection_until.end() && now < known->second;
 }
 
-void clear_old(lender_book& b, time_point now) {
-    std::erase_if(b.without_until, [now](const auto& w) { return now >= w.second; });
+void clear_expired(lender_tracker& tracker, time_point now) {
+    std::erase_if(tracker.no_connection_until, [now](const auto& w) { return now >= w.second; });
 }
 
-std::vector<std::string> order_lenders(const lender_book& b, const server_id& server,
+std::vector<std::string> order_lenders(const lender_tracker& tracker, const server_id& server,
                                        const std::vector<lender>& candidates, time_point now,
                                        std::mt19937_64& random) {
     std::vector<lender> order = candidates;
     std::shuffle(order.begin(), order.end(), random);
     std::stable_sort(order.begin(), order.end(), [&](const lender& x, const lender& y) {
-        return std::pair(rank_of(b, server, x, now), x.rank) < std::pair(rank_of(b, server, y, now), y.rank);
+        return std::pair(preference_class(tracker, server, x, now), x.rank) < std::pair(preference_class(tracker, server, y, now), y.rank);
     });
-    const auto without = [&](const lender& l) { return is_without_connection(b, server, l.address, now); };
-    if (std::all_of(order.begin(), order.end(), without)) {
+    const auto has_no_connection = [&](const lender& l) { return is_without_connection(tracker, server, l.address, now); };
+    if (std::all_of(order.begin(), order.end(), has_no_connection)) {
         order.resize(std::min<std::size_t>(order.size(), 1));
     } else {
-        std::erase_if(order, without);
+        std::erase_if(order, has_no_connection);
     }
     std::vector<std::string> addresses;
     addresses.reserve(order.size());
--- a/src/core/positions.hpp
+++ b/src/core/positions.hpp
@@ -31,7 +31,7 @@
 
 struct group_positions {
     term_number term = 0;                // that the primary's samples belong to
-    std::deque<position_sample> primary; // oldest first; thinned out when there are many
+    std::deque<position_sample> primary_samples; // oldest first; thinned out when there are many
     std::map<server_id, server_position> servers;
     bool operator==(const group_positions&) const = default;
 };
@@ -42,13 +42,13 @@
 void add_primary_sample(group_positions& g, term_number term, const position_sample& sample);
 // `taken_by`: the server had answered by then.
 void add_server_sample(group_positions& g, const server_id& server, const position_sample& sample,
-                       time_point taken_by);
+                       time_point answered_by);
 
 // Whether the server most likely holds this position by now, going by its lag when it was asked last. What
 // was asked longer ago than `trust` says nothing, however often it is told. A guess: only a server that
 // enforces the floor may be chosen by it.
-bool is_likely_to_hold(const group_positions& g, const server_id& server, std::uint64_t timeline,
-                       log_position position, time_point now, duration trust);
+bool likely_has_position(const group_positions& g, const server_id& server, std::uint64_t timeline,
+                       log_position position, time_point now, duration max_sample_age);
 
 // A moment such that the server holds every write acknowledged before it; nothing where unknown.
 std::optional<time_point> fresh_as_of(const group_positions& g, const server_id& server,
--- a/src/core/reachability.cpp
+++ b/src/core/reachability.cpp
@@ -2,25 +2,25 @@
 
 namespace larchpin {
 
-void note_asked(reachability& r, time_point now) {
-    if (r.asked_at == time_point{}) {
-        r.asked_at = now;
+void record_request(reachability& r, time_point now) {
+    if (r.unanswered_since == time_point{}) {
+        r.unanswered_since = now;
     }
 }
 
-void note_answered(reachability& r) {
-    r.asked_at = {};
+void record_answer(reachability& r) {
+    r.unanswered_since = {};
 }
 
 bool is_unreachable(const reachability& r, time_point now) {
-    return r.asked_at != time_point{} && now - r.asked_at > reach_patience;
+    return r.unanswered_since != time_point{} && now - r.unanswered_since > reachability_timeout;
 }
 
-bool take_probe(reachability& r, time_point now) {
+bool begin_probe_if_due(reachability& r, time_point now) {
     if (!is_unreachable(r, now) || r.probing || now < r.next_probe) {
         return false;
     }
-    r.next_probe = now + reach_probe_interval;
+    r.next_probe = now + reachability_probe_interval;
     r.probing = true;
     return true;
 }
--- a/src/core/reachability.hpp
+++ b/src/core/reachability.hpp
@@ -8,23 +8,23 @@
 
 // One server, as one daemon sees it.
 struct reachability {
-    time_point asked_at{}; // the first question since the last answer; 0: none is open
+    time_point unanswered_since{}; // the first question since the last answer; 0: none is open
     time_point next_probe{};
     bool probing = false;
     auto operator<=>(const reachability&) const = default;
 };
 
 // Usual answers take 4 to 150 ms, a queue at a busy server included.
-constexpr duration reach_patience = std::chrono::milliseconds{250};
-constexpr duration reach_probe_interval = std::chrono::milliseconds{500};
+constexpr duration reachability_timeout = std::chrono::milliseconds{250};
+constexpr duration reachability_probe_interval = std::chrono::milliseconds{500};
 
 // Something was sent, or a connection is being opened.
-void note_asked(reachability& r, time_point now);
-void note_answered(reachability& r);
+void record_request(reachability& r, time_point now);
+void record_answer(reachability& r);
 
 bool is_unreachable(const reachability& r, time_point now);
 
 // Time to open a connection just to see whether it answers again; the next look is planned.
-bool take_probe(reachability& r, time_point now);
+bool begin_probe_if_due(reachability& r, time_point now);
 
 } // namespace larchpin
--- a/src/core/rendezvous.cpp
+++ b/src/core/rendezvous.cpp
@@ -6,10 +6,10 @@
 namespace larchpin {
 namespace {
 
-struct ranked {
+struct ranked_id {
     std::uint64_t rank = 0;
     instance_id id;
-    auto operator<=>(const ranked&) const = default;
+    auto operator<=>(const ranked_id&) const = default;
 };
 
 } // namespace
@@ -35,12 +35,12 @@
 
 std::vector<instance_id> choose_observers(const std::vector<observer_candidate>& live,
                                           const server_id& server) {
-    std::map<failure_domain, ranked> best;
+    std::map<failure_domain, ranked_id> best;
     for (const observer_candidate& candidate : live) {
-        const ranked r{.rank = stable_hash(candidate.id.value, server.value), .id = candidate.id};
-        const auto [place, first] = best.emplace(candidate.domain, r);
-        if (!first && r < place->second) {
-            place->second = r;
+        const ranked_id r{.rank = stable_hash(candidate.id.value, server.value), .id = candidate.id};
+        const auto [entry, inserted] = best.emplace(candidate.domain, r);
+        if (!inserted && r < entry->second) {
+            entry->second = r;
         }
     }
     std::vector<instance_id> chosen;
@@ -53,7 +53,7 @@
 
 std::vector<instance_id> ranked_instances(const cluster_state& s, const failure_domain& domain,
                                           const server_id& server) {
-    std::vector<ranked> order;
+    std::vector<ranked_id> order;
     for (const auto& [id, record] : s.instances) {
         if (record.domain == domain) {
             order.push_back({.rank = stable_hash(id.value, server.value), .id = id});
@@ -62,7 +62,7 @@
     std::sort(order.begin(), order.end());
     std::vector<instance_id> ids;
     ids.reserve(order.size());
-    for (const ranked& r : order) {
+    for (const ranked_id& r : order) {
         ids.push_back(r.id);
     }
     return ids;
@@ -71,28 +71,28 @@
 namespace {
 
 // Below this many connections an instance each of two statements at once meets a closed door.
-constexpr std::size_t plenty_per_instance = 2;
+constexpr std::size_t min_connections_per_instance = 2;
 // Homes of workspaces' connections in the server's own failure domain: one that is lost costs a third of the
 // workspaces a detour until the next one has opened connections for them.
-constexpr std::size_t workspace_homes_near = 3;
+constexpr std::size_t workspace_homes_in_domain = 3;
 
-std::size_t count_callers(const cluster_state& s) {
+std::size_t count_client_facing(const cluster_state& s) {
     return static_cast<std::size_t>(std::count_if(s.instances.begin(), s.instances.end(),
                                                   [](const auto& i) { return i.second.takes_callers; }));
 }
 
 } // namespace
 
-bool everyone_holds_connections(const cluster_state& s, unsigned connections) {
-    return connections >= count_callers(s) * plenty_per_instance;
+bool all_instances_hold_connections(const cluster_state& s, unsigned connections) {
+    return connections >= count_client_facing(s) * min_connections_per_instance;
 }
 
 namespace {
 
 // Those that take callers, by failure domain, best-ranked first.
-std::map<failure_domain, std::vector<ranked>> rank_callers(const cluster_state& s, const server_id& server,
+std::map<failure_domain, std::vector<ranked_id>> rank_client_facing(const cluster_state& s, const server_id& server,
                                                            const std::set<instance_id>& lost) {
-    std::map<failure_domain, std::vector<ranked>> by_domain;
+    std::map<failure_domain, std::vector<ranked_id>> by_domain;
     for (const auto& [id, record] : s.instances) {
         if (record.accepts_clients && !lost.contains(id)) {
             by_domain[record.domain].push_back({.rank = stable_hash(id.value, server.value), .id = id});
@@ -109,12 +109,12 @@
 std::vector<instance_id> workspace_homes(const cluster_state& s, const server_record& server,
                                          unsigned connections, const std::set<instance_id>& lost) {
     std::vector<instance_id> homes;
-    if (everyone_holds_connections(s, connections)) {
+    if (all_instances_hold_connections(s, connections)) {
         return homes;
     }
-    const auto by_domain = rank_callers(s, server.id, lost);
+    const auto by_domain = rank_client_facing(s, server.id, lost);
     const auto own = by_domain.find(server.domain);
-    for (std::size_t i = 0; own != by_domain.end() && i < own->second.size() && i < workspace_homes_near;
+    for (std::size_t i = 0; own != by_domain.end() && i < own->second.size() && i < workspace_homes_in_domain;
          ++i) {
         homes.push_back(own->second[i].id);
     }
@@ -135,13 +135,13 @@
     // A home's connections: one waits for another less often where several are in one place.
     constexpr std::size_t connections_per_home = 4;
     std::vector<instance_id> homes;
-    if (everyone_holds_connections(s, connections)) {
+    if (all_instances_hold_connections(s, connections)) {
         return homes;
     }
-    const auto by_domain = rank_callers(s, server, lost);
-    const std::size_t wanted = std::max<std::size_t>(1, connections / connections_per_home);
+    const auto by_domain = rank_client_facing(s, server, lost);
+    const std::size_t home_count = std::max<std::size_t>(1, connections / connections_per_home);
     const std::size_t per_domain =
-        std::max<std::size_t>(1, wanted / std::max<std::size_t>(1, by_domain.size()));
+        std::max<std::size_t>(1, home_count / std::max<std::size_t>(1, by_domain.size()));
     for (const auto& [domain, order] : by_domain) {
         for (std::size_t i = 0; i < order.size() && i < per_domain; ++i) {
             homes.push_back(order[i].id);
--- a/src/core/rendezvous.hpp
+++ b/src/core/rendezvous.hpp
@@ -32,7 +32,7 @@
                                           const server_id& server);
 
 // So many connections to a server that every instance which takes callers holds its own.
-bool everyone_holds_connections(const cluster_state& s, unsigned connections);
+bool all_instances_hold_connections(const cluster_state& s, unsigned connections);
 
 // The instances that hold a server's connections for all, where those are fewer than twice the instances that
 // take callers: in each failure domain the best-ranked ones, each with room for some connections. Empty where
--- a/src/core/routing.cpp
+++ b/src/core/routing.cpp
@@ -104,7 +104,7 @@
     std::vector<double> delays;
     double least = 0;
     for (const server_view* s : fit) {
-        const bool unknown = s->load ? s->load->load.usual_answer.count() == 0 : s->latency.count() == 0;
+        const bool unknown = s->load ? s->load->load.response_time.count() == 0 : s->latency.count() == 0;
         delays.push_back(unknown ? 0 : expected_delay(*s, settings));
         if (delays.back() > 0 && (least == 0 || delays.back() < least)) {
             least = delays.back();
@@ -183,7 +183,7 @@
     return primary != nullptr && !is_avoided(wish, primary->id) &&
            may_take_reads(g, *primary, true, wish.now) &&
            route_write(g, wish.lease_live).kind == target_kind::server &&
-           !(primary->load && primary->load->load.failed > mostly);
+           !(primary->load && primary->load->load.failure_ratio > mostly);
 }
 
 bool goes_to_primary(const group_view& g, const server_view& replica, const read_wish& wish,
@@ -200,7 +200,7 @@
     if (replica.load) {
         // The primary's queue is for writes. The better it looks the more reads it gets, up to their half.
         const double times = replicas / std::max(primarys, 1.0);
-        return has_short_queue(*primary->load) &&
+        return has_free_slot(*primary->load) &&
                happens(std::min(2 * times / settings.primary_reluctance - 1, settings.most_to_primary),
                        random);
     }
@@ -226,7 +226,7 @@
         std::erase_if(usable, is_ejected);
     }
     const auto holds = [&](const server_view* s, duration trust) {
-        return is_likely_to_hold(*g.positions, s->id, g.record.timeline, floor, wish.now, trust);
+        return likely_has_position(*g.positions, s->id, g.record.timeline, floor, wish.now, trust);
     };
     std::vector<const server_view*> fit;
     for (const server_view* s : usable) {
@@ -264,7 +264,7 @@
     const server_view& chosen = preferred != nullptr ? *preferred : choose(fit, settings, random);
     // Where all replicas fail, what still goes there is what it takes to see one recover.
     const bool all_fail = std::all_of(fit.begin(), fit.end(), [](const server_view* v) {
-        return v->load && v->load->load.failed > mostly;
+        return v->load && v->load->load.failure_ratio > mostly;
     });
     const bool primary_serves = all_fail && may_primary_read(g, wish);
     if (primary_serves ? happens(1 - settings.trials_of_failing, random)
--- a/src/core/server_load.hpp
+++ b/src/core/server_load.hpp
@@ -31,9 +31,9 @@
     unsigned slots = 0;             // statements that it runs at once; 0: not known
     unsigned running = 0;           // statements there now
     unsigned waiting = 0;           // requests that wait at the instance until they may be sent
-    duration usual_answer{0};       // smoothed time from sending to answer; 0: unknown
-    duration wait{0};               // that a request of class "normal" has to expect before it is sent
-    double failed = 0;              // 0..1: share of answers that failed lately, or of what got none
+    duration response_time{0};       // smoothed time from sending to answer; 0: unknown
+    duration queue_delay{0};               // that a request of class "normal" has to expect before it is sent
+    double failure_ratio = 0;              // 0..1: share of answers that failed lately, or of what got none
     std::optional<position_sample> position{}; // of its log, by the clock of whoever reads it
     time_point as_of{};                        // by the clock of whoever reads it, at the latest
     auto operator<=>(const server_load&) const = default;
@@ -44,76 +44,76 @@
 //-----------------------------------------------------------------------------
 
 // What the answers of one server tell.
-struct server_answers {
-    duration usual{0}; // smoothed; 0: none yet
-    duration least{0}; // the least that `usual` has been, rising slowly
-    double failed = 0; // smoothed share
-    double worst = 0;  // the highest that `failed` has been, at `worst_at`; fades
-    time_point worst_at{};
-    time_point answered_at{}; // the last one, also of what got none
+struct response_stats {
+    duration response_time{0}; // smoothed; 0: none yet
+    duration min_response_time{0}; // the least that `usual` has been, rising slowly
+    double failure_ratio = 0; // smoothed share
+    double peak_failure_ratio = 0;  // the highest that `failed` has been, at `peak_at`; fades
+    time_point peak_at{};
+    time_point last_ended_at{}; // the last one, also of what got none
     std::optional<position_sample> position{};
-    auto operator<=>(const server_answers&) const = default;
+    auto operator<=>(const response_stats&) const = default;
 };
 
 // A statement ended: answered after `took`, or not. `failed`: without use to its caller, by the server's
 // doing. A refusal for a floor is none of that.
-struct ended_statement {
+struct statement_outcome {
     duration took{0};
     bool answered = true;
     bool failed = false;
     std::optional<position_sample> position{};
 };
-void note_ended(server_answers& a, const ended_statement& e, time_point now);
+void record_outcome(response_stats& a, const statement_outcome& e, time_point now);
 
 // The usual time of an answer. That of a server which nobody asks any more fades towards the least, so that
 // one that was slow once is tried again.
-duration usual_answer(const server_answers& a, time_point now);
+duration current_response_time(const response_stats& a, time_point now);
 
 // The share of failures that a request has to expect, 0..1; rises with the answers, and falls slowly.
-double failed_share(const server_answers& a, time_point now);
+double current_failure_ratio(const response_stats& a, time_point now);
 
-struct server_use {
+struct server_usage {
     unsigned slots = 0; // 0: not known
     unsigned running = 0;
     unsigned waiting = 0;
-    auto operator<=>(const server_use&) const = default;
+    auto operator<=>(const server_usage&) const = default;
 };
-server_load make_load(const server_id& server, const server_answers& a, const server_use& use,
+server_load make_load(const server_id& server, const response_stats& a, const server_usage& use,
                       time_point now);
 
 // Different enough that others would choose differently.
-bool differs(const server_load& a, const server_load& b);
+bool differs_significantly(const server_load& a, const server_load& b);
 
 //-----------------------------------------------------------------------------
 // [at a reader]
 //-----------------------------------------------------------------------------
 
 // A word so old says nothing any more: a queue of usual length has come and gone twice.
-constexpr duration load_memory = std::chrono::milliseconds{500};
+constexpr duration max_load_age = std::chrono::milliseconds{500};
 
 struct known_load {
     server_load load;
     unsigned sent_since = 0; // requests of this instance that went there since it was told
     duration age{0};         // since it was told
-    duration way{0};         // smoothed time between this instance and the server's lender, both directions
+    duration round_trip_delay{0};         // smoothed time between this instance and the server's lender, both directions
     auto operator<=>(const known_load&) const = default;
 };
 
-struct load_book {
+struct load_cache {
     std::map<server_id, known_load> loads;
-    std::map<server_id, duration> ways; // stay known when the load is forgotten
+    std::map<server_id, duration> round_trip_delays; // stay known when the load is forgotten
 };
 
 constexpr std::size_t max_known_loads = 1000; // the one told longest ago goes
 
 // False where a newer one is known.
-bool take_load(load_book& b, const server_load& load);
-void note_sent(load_book& b, const server_id& server);
+bool update_load(load_cache& cache, const server_load& load);
+void note_sent(load_cache& cache, const server_id& server);
 // An answer took so much longer than its lender says it took there.
-void note_way(load_book& b, const server_id& server, duration excess);
+void record_round_trip_delay(load_cache& cache, const server_id& server, duration delay);
 // Nothing where it is not known, or was told too long ago.
-std::optional<known_load> find_load(const load_book& b, const server_id& server, time_point now);
-void forget_old(load_book& b, time_point now);
+std::optional<known_load> find_load(const load_cache& cache, const server_id& server, time_point now);
+void evict_old_loads(load_cache& cache, time_point now);
 
 // When a request sent now is answered, counted from now. What fails costs the time after which a caller
 // comes back. What was told of a queue counts the less the older it is, in usual answers: all who choose
@@ -123,6 +123,6 @@
 duration expected_completion(const known_load& k);
 
 // Nothing waits there, as far as is known, and a slot is free.
-bool has_short_queue(const known_load& k);
+bool has_free_slot(const known_load& k);
 
 } // namespace larchpin
--- a/src/daemon/agent.cpp
+++ b/src/daemon/agent.cpp
@@ -72,7 +72,7 @@
     pools_.on_opening = [this](const server_id& id) { note_asked(id); };
     pools_.on_opened = [this](const server_id& id) { note_answered(id); };
     pools_.least_mark = [this](const server_id& id) { return least_mark(id); };
-    pools_.on_open_failed = [this](const server_id& id) { note_failed(health_[id], now()); };
+    pools_.on_open_failed = [this](const server_id& id) { record_failure(health_[id], now()); };
     on_tick();
 }
 
@@ -610,9 +610,9 @@
         s.outstanding = health.outstanding;
         s.latency = expected_latency(health, at);
         s.ejected_until = health.ejected_until;
-        s.ramp = read_ramp(health, at);
+        s.ramp = slow_start_factor(health, at);
         const share_key key{.service = service, .server = server.id};
-        s.asked_at = health.asked_at;
+        s.asked_at = health.last_request_at;
         if (const auto load = load_of ? load_of(server.id) : std::nullopt) {
             use_load(s, *load);
         }
@@ -639,20 +639,20 @@
 
 void agent::note_request_started(const server_id& server) {
     server_health& health = health_[server];
-    note_started(health);
-    health.asked_at = now();
+    record_start(health);
+    health.last_request_at = now();
 }
 
 void agent::note_request_ended(const server_id& server, bool ok, duration took) {
     if (ok) {
-        note_succeeded(health_[server], took, now());
+        record_success(health_[server], took, now());
     } else {
-        note_failed(health_[server], now());
+        record_failure(health_[server], now());
     }
 }
 
 void agent::note_request_left(const server_id& server) {
-    note_left(health_[server]);
+    record_abandoned(health_[server]);
 }
 
 } // namespace larchpin
--- a/src/daemon/agent_servers.cpp
+++ b/src/daemon/agent_servers.cpp
@@ -468,7 +468,7 @@
 //-----------------------------------------------------------------------------
 
 void agent::note_asked(const server_id& server) {
-    larchpin::note_asked(reach_[server], now());
+    larchpin::record_request(reach_[server], now());
 }
 
 void agent::note_answered(const server_id& server) {
@@ -476,7 +476,7 @@
     if (larchpin::is_unreachable(r, now())) {
         log_event(severity::info, "server_reachable", {{"server", server.value}});
     }
-    larchpin::note_answered(r);
+    larchpin::record_answer(r);
 }
 
 bool agent::is_unreachable(const server_id& server) const {
@@ -488,7 +488,7 @@
 void agent::probe_unreachable() {
     std::erase_if(reach_, [this](const auto& r) { return !cluster_.servers.contains(r.first); });
     for (auto& [id, r] : reach_) {
-        if (!take_probe(r, now())) {
+        if (!begin_probe_if_due(r, now())) {
             continue;
         }
         log_event(severity::warning, "server_unreachable", {{"server", id.value}});
--- a/src/daemon/loans.cpp
+++ b/src/daemon/loans.cpp
@@ -210,7 +210,7 @@
         m.set_wants_loads(owner_.loads_.wants(terms_.key.server));
         sent_at_ = now();
         const duration time = std::max(terms_.deadline - now(), duration{0}) + answer_slack;
-        note_asked(owner_.book_, home_, now());
+        record_request(owner_.book_, home_, now());
         owner_.clients_.to(home_).post("/v1/loan", m.SerializeAsString(), time,
                                        [self = shared_from_this(), number = number_](const http_outcome& o) {
                                            if (self->running_ && number == self->number_) {
@@ -230,7 +230,7 @@
             finish(outcome, {});
             return;
         }
-        note_excess(owner_.book_, home_, owner_.loads_.take(terms_.key, m, sent_at_));
+        record_round_trip_delay(owner_.book_, home_, owner_.loads_.take(terms_.key, m, sent_at_));
         backend_outcome outcome = read_outcome(m);
         outcome.lender = home_;
         owner_.note_lender(terms_.key, home_, outcome);
@@ -471,7 +471,7 @@
         }
         const std::string& address = record->second.address;
         candidates.push_back({.address = address,
-                              .far = record->second.domain != near,
+                              .in_other_domain = record->second.domain != near,
                               .rank = by_workspace ? rank_for_workspace(terms.workspace, address) : 0,
                               .lost = cluster_.is_lost(id)});
     }
@@ -479,7 +479,7 @@
 }
 
 void connection_loans::note_home(const std::string& address, bool answers) {
-    const bool news = answers ? note_heard(book_, address) : note_silent(book_, address, now());
+    const bool news = answers ? mark_responsive(book_, address) : mark_silent(book_, address, now());
     if (news) {
         log_event(answers ? severity::info : severity::warning, answers ? "home_answers" : "home_silent",
                   {{"home", address}});
@@ -492,13 +492,13 @@
     const bool sends_on = orders_statements() && (outcome.refused == result_code::stopping ||
                                                   outcome.refused == result_code::no_lease);
     if (outcome.refused == result_code::connection_lost || sends_on) {
-        note_without_connection(book_, key.server, address, now());
+        mark_without_connection(book_, key.server, address, now());
     }
     const bool needs_lender = cluster_.is_unreachable(key.server) || pools_.is_turned_away(key);
     if (outcome.answered && needs_lender) {
-        book_.lent_last[key.server] = address;
+        book_.last_lender[key.server] = address;
     } else {
-        book_.lent_last.erase(key.server);
+        book_.last_lender.erase(key.server);
     }
 }
 
@@ -694,7 +694,7 @@
 }
 
 void connection_loans::watch_homes() {
-    for (const std::string& address : take_pings(book_, now())) {
+    for (const std::string& address : take_due_pings(book_, now())) {
         ping(address);
     }
     watch_timer_.expires_after(watch_interval);
@@ -706,7 +706,7 @@
 }
 
 void connection_loans::on_tick() {
-    clear_old(book_, now());
+    clear_expired(book_, now());
     follow_orders();
     std::vector<std::uint64_t> unused;
     for (const auto& [number, l] : loans_) {
--- a/src/daemon/loans_ordering.cpp
+++ b/src/daemon/loans_ordering.cpp
@@ -149,7 +149,7 @@
     }
     place.pinged_at = now();
     const std::string address = cluster_.cluster().instances.at(*first).address;
-    note_asked(book_, address, now());
+    record_request(book_, address, now());
     ping(address);
 }
 
--- a/src/daemon/pools.cpp
+++ b/src/daemon/pools.cpp
@@ -251,8 +251,8 @@
     return may_grow || (found != pools_.end() && found->second.state.share > 0);
 }
 
-server_use backend_pools::use_of(const server_id& server) const {
-    server_use use;
+server_usage backend_pools::use_of(const server_id& server) const {
+    server_usage use;
     for (const auto& [key, p] : pools_) {
         if (key.server == server) {
             use.running += static_cast<unsigned>(p.state.busy.size() - p.state.resting.size());
--- a/src/daemon/pools.hpp
+++ b/src/daemon/pools.hpp
@@ -86,7 +86,7 @@
     // Holds a share, or could get one if `may_grow`.
     [[nodiscard]] bool may_serve(const share_key& key, bool may_grow) const;
     // Statements of all services that run at the server over these pools, and requests that wait for it.
-    [[nodiscard]] server_use use_of(const server_id& server) const;
+    [[nodiscard]] server_usage use_of(const server_id& server) const;
     // The server had no room for a connection of ours, and we have none (see core/pool).
     [[nodiscard]] bool is_turned_away(const share_key& key) const;
     void look_for_room(const share_key& key);
--- a/src/daemon/request_path.cpp
+++ b/src/daemon/request_path.cpp
@@ -141,7 +141,7 @@
         return;
     }
     active_->counted = true;
-    note_request(owner_.cluster.budget(state.group));
+    refill_for_request(owner_.cluster.budget(state.group));
     route();
 }
 
@@ -692,7 +692,7 @@
 bool request_path::may_retry() {
     active_request& r = *active_;
     return is_repeatable() && ++r.attempts < r.what.max_attempts && now() < r.deadline &&
-           take_retry(owner_.cluster.budget(state.group));
+           try_take_retry(owner_.cluster.budget(state.group));
 }
 
 // `blames_server`: it is the server that failed, and not the way over another instance.
--- a/src/daemon/server_loads.cpp
+++ b/src/daemon/server_loads.cpp
@@ -63,9 +63,9 @@
     told.set_slots(l.slots);
     told.set_running(l.running);
     told.set_waiting(l.waiting);
-    told.set_usual_us(to_us(l.usual_answer));
-    told.set_wait_us(to_us(l.wait));
-    told.set_failed_percent(to_percent(l.failed));
+    told.set_usual_us(to_us(l.response_time));
+    told.set_wait_us(to_us(l.queue_delay));
+    told.set_failed_percent(to_percent(l.failure_ratio));
     told.set_age_us(to_us(at - l.as_of));
     if (l.position) {
         told.set_has_position(true);
@@ -86,9 +86,9 @@
                      .slots = told.slots(),
                      .running = told.running(),
                      .waiting = told.waiting(),
-                     .usual_answer = from_us(told.usual_us()),
-                     .wait = from_us(told.wait_us()),
-                     .failed = std::clamp(told.failed_percent() / 100.0, 0.0, 1.0),
+                     .response_time = from_us(told.usual_us()),
+                     .queue_delay = from_us(told.wait_us()),
+                     .failure_ratio = std::clamp(told.failed_percent() / 100.0, 0.0, 1.0),
                      .as_of = told_at - grantor_length(from_us(told.age_us()))};
     if (told.has_position()) {
         const duration age = from_us(told.position_age_us());
@@ -98,7 +98,7 @@
         cluster_.note_told_position(load.server, told.start_number(), *load.position,
                                     now() - holder_length(age));
     }
-    take_load(book_, load);
+    update_load(book_, load);
 }
 
 //-----------------------------------------------------------------------------
@@ -118,13 +118,13 @@
     }
     const bool in_vain = outcome.failed &&
                          (outcome.refusal == server_refusal::none || outcome.refusal == server_refusal::busy);
-    ended_statement ended{.took = now() - asked_at, .answered = outcome.answered, .failed = in_vain};
+    statement_outcome ended{.took = now() - asked_at, .answered = outcome.answered, .failed = in_vain};
     if (outcome.position) {
         ended.position = position_sample{.not_before = asked_at,
                                          .timeline = outcome.position->timeline,
                                          .position = outcome.position->position};
     }
-    larchpin::note_ended(s.answers, ended, now());
+    larchpin::record_outcome(s.answers, ended, now());
     follow_failures(s);
 }
 
@@ -149,11 +149,11 @@
         return std::nullopt;
     }
     const auto own = own_.find(server);
-    server_load load = make_load(server, own == own_.end() ? server_answers{} : own->second.answers,
+    server_load load = make_load(server, own == own_.end() ? response_stats{} : own->second.answers,
                                  pools_.use_of(server), now());
     load.start_number = record->second.start_number;
     if (cluster_.is_unreachable(server)) {
-        load.failed = 1;
+        load.failure_ratio = 1;
     }
     return known_load{.load = load};
 }
@@ -168,23 +168,23 @@
     }
     const auto told = find_load(book_, server, now());
     const auto own = own_.find(server);
-    const bool answered = own != own_.end() && now() - own->second.answers.answered_at < recently;
+    const bool answered = own != own_.end() && now() - own->second.answers.last_ended_at < recently;
     return told || !answered ? told : own_load(server);
 }
 
 void server_loads::follow_failures(own_server& s) {
-    const double failed = failed_share(s.answers, now());
+    const double failed = current_failure_ratio(s.answers, now());
     const bool leaves = !s.left_out && failed > left_out_above;
     const bool returns = s.left_out && failed < taken_back_below;
     if (!leaves && !returns) {
         return;
     }
     s.left_out = leaves;
-    const server_use use = pools_.use_of(s.key.server);
+    const server_usage use = pools_.use_of(s.key.server);
     log_event(leaves ? severity::warning : severity::info, leaves ? "server_left_out" : "server_taken_back",
               {{"server", s.key.server.value},
                {"failed_percent", static_cast<std::uint64_t>(to_percent(failed))},
-               {"usual_answer_us", to_us(usual_answer(s.answers, now()))},
+               {"usual_answer_us", to_us(current_response_time(s.answers, now()))},
                {"running", static_cast<std::uint64_t>(use.running)},
                {"waiting", static_cast<std::uint64_t>(use.waiting)}});
 }
@@ -220,7 +220,7 @@
     if (reply.held_us() == 0) {
         return excess;
     }
-    note_way(book_, key.server, excess);
+    record_round_trip_delay(book_, key.server, excess);
     const time_point told_at = sent + holder_length(held);
     for (const wire::server_load& told : reply.loads()) {
         take_one(told, sent, told_at);
@@ -268,7 +268,7 @@
 }
 
 void server_loads::on_tick() {
-    forget_old(book_, now());
+    evict_old_loads(book_, now());
     std::erase_if(own_, [this](const auto& s) { return !cluster_.cluster().servers.contains(s.first); });
     for (auto& [id, s] : own_) {
         follow_failures(s);
@@ -308,7 +308,7 @@
                 q.request.add_servers(server.id.value);
             }
             server_load& before = homes_[instance->second.address].told_by[id];
-            q.is_due = q.is_due || differs(before, load->load);
+            q.is_due = q.is_due || differs_significantly(before, load->load);
         }
     }
     for (const auto& [address, q] : questions) {
--- a/src/daemon/server_loads.hpp
+++ b/src/daemon/server_loads.hpp
@@ -63,7 +63,7 @@
     struct own_server {
         share_key key;
         std::uint64_t start_number = 0; // the answers are of this start
-        server_answers answers;
+        response_stats answers;
         bool left_out = false; // as the log tells it
     };
     struct asked_home {
@@ -89,7 +89,7 @@
     boost::asio::steady_timer timer_;
     std::map<server_id, own_server> own_; // answered on our connections
     std::map<std::string, asked_home> homes_;
-    load_book book_;
+    load_cache book_;
     std::map<group_id, time_point> wanted_at_;
     http2_clients clients_;
 };
--- a/src/io/metrics.hpp
+++ b/src/io/metrics.hpp
@@ -1,7 +1,7 @@
 // Counters and latency histograms per service and request class, over Boost.Accumulators.
 //
 // Usage
-//   metrics.note_request({service, klass}, request_target::replica, run_state::ran, took);
+//   metrics.refill_for_request({service, klass}, request_target::replica, run_state::ran, took);
 //   std::string text = metrics.to_text();   // Prometheus' text format
 #pragma once
 
--- a/tests/balance_test.cpp
+++ b/tests/balance_test.cpp
@@ -24,17 +24,17 @@
 
 constexpr time_point start = seconds{100};
 constexpr unsigned slots = 4;
-constexpr std::size_t choosers = 70;
+constexpr std::size_t router_count = 70;
 
 // How a server does at a moment since the start.
-struct conduct {
-    duration work = milliseconds{20};
-    double fails = 0;
+struct server_behavior {
+    duration service_time = milliseconds{20};
+    double failure_ratio = 0;
 };
-using conduct_of = std::function<conduct(duration)>;
+using behavior_at = std::function<server_behavior(duration)>;
 
-conduct_of always(duration work, double fails = 0) {
-    return [work, fails](duration /*at*/) { return conduct{.work = work, .fails = fails}; };
+behavior_at always(duration work, double fails = 0) {
+    return [work, fails](duration /*at*/) { return server_behavior{.service_time = work, .failure_ratio = fails}; };
 }
 
 struct finished_read {
@@ -44,30 +44,30 @@
 };
 
 // A server whose statements one instance orders: at most `slots` at once, the rest waits there.
-struct modelled_server {
+struct simulated_server {
     server_id id;
-    conduct_of does;
+    behavior_at behavior;
     std::deque<time_point> queue{};                           // when they came
     std::vector<std::pair<time_point, time_point>> running{}; // came, sent
     std::vector<time_point> ends{};                           // of those running
-    server_answers answers{};
-    std::deque<server_load> told{}; // one each 10 ms
-    std::vector<finished_read> done{};
-    std::vector<time_point> asked{};
+    response_stats answers{};
+    std::deque<server_load> published_loads{}; // one each 10 ms
+    std::vector<finished_read> finished{};
+    std::vector<time_point> sent_at{};
 };
 
 // Choosers that hear each load so much later, and ask for reads at random moments, in steps of 1 ms.
-class modelled_group {
+class simulated_group {
 public:
-    modelled_group(std::vector<conduct_of> replicas, double reads_a_second, duration age)
-        : rate_(reads_a_second), age_(age), books_(choosers) {
+    simulated_group(std::vector<behavior_at> replicas, double reads_a_second, duration age)
+        : rate_(reads_a_second), load_age_(age), caches_(router_count) {
         view_.record = {.id = {"g"}, .term = 1, .primary = {"p"}, .timeline = 1, .term_starts = {{.term = 1}}};
         view_.positions = &positions_;
         view_.servers_enforce_floor = true;
         session_.group = {"g"};
         view_.servers.push_back({.id = {"p"}, .near = true});
         for (std::size_t i = 0; i < replicas.size(); ++i) {
-            servers_.push_back({.id = {"r" + std::to_string(i)}, .does = std::move(replicas[i])});
+            servers_.push_back({.id = {"r" + std::to_string(i)}, .behavior = std::move(replicas[i])});
             view_.servers.push_back({.id = servers_.back().id, .near = true});
         }
     }
@@ -75,11 +75,11 @@
     void run(duration length) {
         const time_point end = now_ + length;
         for (; now_ < end; now_ += milliseconds{1}) {
-            tell_positions();
-            for (modelled_server& s : servers_) {
+            update_positions();
+            for (simulated_server& s : servers_) {
                 serve(s);
                 if ((now_ - start) % milliseconds{10} == duration{0}) {
-                    s.told.push_back(make_load(
+                    s.published_loads.push_back(make_load(
                         s.id, s.answers,
                         {slots, static_cast<unsigned>(s.ends.size()), static_cast<unsigned>(s.queue.size())},
                         now_));
@@ -97,7 +97,7 @@
         double all = 0;
         for (std::size_t i = 0; i < servers_.size(); ++i) {
             const auto n = static_cast<double>(
-                std::count_if(servers_[i].asked.begin(), servers_[i].asked.end(),
+                std::count_if(servers_[i].sent_at.begin(), servers_[i].sent_at.end(),
                               [&](time_point at) { return at >= start + from && at < start + to; }));
             all += n;
             own += i == server ? n : 0;
@@ -106,11 +106,11 @@
     }
 
     // Share of the reads that ended after `from`, and failed or took longer.
-    [[nodiscard]] double bad(duration from, duration objective) const {
+    [[nodiscard]] double bad_share(duration from, duration objective) const {
         double bad = 0;
         double all = 0;
-        for (const modelled_server& s : servers_) {
-            for (const finished_read& r : s.done) {
+        for (const simulated_server& s : servers_) {
+            for (const finished_read& r : s.finished) {
                 if (r.at >= start + from) {
                     all += 1;
                     bad += r.failed || r.took > objective ? 1 : 0;
@@ -121,17 +121,17 @@
     }
 
 private:
-    void tell_positions() {
+    void update_positions() {
         const auto since = (now_ - start) / milliseconds{10};
         const position_sample sample{
             .not_before = now_, .timeline = 1, .position = static_cast<log_position>(since)};
         add_primary_sample(positions_, 1, sample);
-        for (const modelled_server& s : servers_) {
+        for (const simulated_server& s : servers_) {
             add_server_sample(positions_, s.id, sample, now_);
         }
     }
 
-    void serve(modelled_server& s) {
+    void serve(simulated_server& s) {
         for (std::size_t i = 0; i < s.ends.size();) {
             if (s.ends[i] > now_) {
                 ++i;
@@ -140,65 +140,65 @@
             const auto offset = static_cast<std::ptrdiff_t>(i);
             const auto [came, sent] = s.running[i];
             const bool failed =
-                std::uniform_real_distribution<double>(0, 1)(random_) < s.does(now_ - start).fails;
-            note_ended(s.answers, {.took = now_ - sent, .failed = failed}, now_);
-            s.done.push_back({.at = now_, .took = now_ - came, .failed = failed});
+                std::uniform_real_distribution<double>(0, 1)(random_) < s.behavior(now_ - start).failure_ratio;
+            record_outcome(s.answers, {.took = now_ - sent, .failed = failed}, now_);
+            s.finished.push_back({.at = now_, .took = now_ - came, .failed = failed});
             s.running.erase(s.running.begin() + offset);
             s.ends.erase(s.ends.begin() + offset);
         }
         while (s.ends.size() < slots && !s.queue.empty()) {
             s.running.emplace_back(s.queue.front(), now_);
-            s.ends.push_back(now_ + s.does(now_ - start).work);
+            s.ends.push_back(now_ + s.behavior(now_ - start).service_time);
             s.queue.pop_front();
         }
     }
 
     void read() {
-        load_book& book = books_[std::uniform_int_distribution<std::size_t>(0, choosers - 1)(random_)];
+        load_cache& book = caches_[std::uniform_int_distribution<std::size_t>(0, router_count - 1)(random_)];
         for (std::size_t i = 0; i < servers_.size(); ++i) {
-            const auto& told = servers_[i].told;
-            const auto heard = std::find_if(told.rbegin(), told.rend(),
-                                            [&](const auto& l) { return l.as_of <= now_ - age_; });
+            const auto& told = servers_[i].published_loads;
+            const auto received = std::find_if(told.rbegin(), told.rend(),
+                                            [&](const auto& l) { return l.as_of <= now_ - load_age_; });
             const auto known = find_load(book, servers_[i].id, now_);
-            if (heard != told.rend() && (!known || known->load.as_of < heard->as_of)) {
-                take_load(book, *heard);
+            if (received != told.rend() && (!known || known->load.as_of < received->as_of)) {
+                update_load(book, *received);
             }
             view_.servers[i + 1].load = find_load(book, servers_[i].id, now_);
         }
         const read_wish wish{
             .staleness = seconds{1}, .asked_at = now_, .now = now_, .lease_live = true, .avoid = {}};
         const routing_decision d = route_read(view_, session_, wish, {}, random_);
-        for (modelled_server& s : servers_) {
+        for (simulated_server& s : servers_) {
             if (s.id == d.server) {
                 s.queue.push_back(now_);
-                s.asked.push_back(now_);
+                s.sent_at.push_back(now_);
                 note_sent(book, s.id);
             }
         }
     }
 
     double rate_;
-    duration age_;
+    duration load_age_;
     time_point now_ = start;
     std::mt19937_64 random_{20261203};
     group_positions positions_;
     group_view view_;
     session_state session_;
-    std::vector<modelled_server> servers_;
-    std::vector<load_book> books_;
+    std::vector<simulated_server> servers_;
+    std::vector<load_cache> caches_;
 };
 
 constexpr duration objective = milliseconds{200}; // of quick work
 
 // A primary and two replicas that hold everything.
-struct told_group {
+struct routed_group {
     group_positions positions;
     group_view view;
     session_state session;
     read_wish wish;
     std::mt19937_64 random{1};
 
-    told_group() {
+    routed_group() {
         view.record = {.id = {"g"}, .term = 1, .primary = {"p"}, .timeline = 1, .term_starts = {{.term = 1}}};
         view.positions = &positions;
         view.servers_enforce_floor = true;
@@ -220,11 +220,11 @@
                              [&](const auto& s) { return s.id.value == id; });
     }
 
-    void tell(const std::string& id, server_load load, duration way = duration{0}) {
+    void set_load(const std::string& id, server_load load, duration way = duration{0}) {
         load.server = {id};
         load.slots = slots;
         load.as_of = wish.now;
-        server(id).load = known_load{.load = load, .way = way};
+        server(id).load = known_load{.load = load, .round_trip_delay = way};
     }
 
     double share(const std::string& id) {
@@ -243,29 +243,29 @@
 
 // 300 reads a second where 500 can be done, a fifth of it by a server with half the others' speed.
 TEST(uneven_servers, one_with_half_the_speed_gets_less_and_is_not_left_idle) {
-    modelled_group g({always(milliseconds{20}), always(milliseconds{20}), always(milliseconds{40})}, 300,
+    simulated_group g({always(milliseconds{20}), always(milliseconds{20}), always(milliseconds{40})}, 300,
                      milliseconds{100});
     g.run(seconds{10});
     EXPECT_GT(g.share(2, seconds{1}, seconds{10}), 0.05);
     EXPECT_LT(g.share(2, seconds{1}, seconds{10}), 0.2);
-    EXPECT_LT(g.bad(seconds{1}, objective), 0.01);
+    EXPECT_LT(g.bad_share(seconds{1}, objective), 0.01);
 }
 
 // 450 of 500: the quick ones alone do 400.
 TEST(uneven_servers, near_the_limit_the_slow_one_carries_its_part) {
-    modelled_group g({always(milliseconds{20}), always(milliseconds{20}), always(milliseconds{40})}, 450,
+    simulated_group g({always(milliseconds{20}), always(milliseconds{20}), always(milliseconds{40})}, 450,
                      milliseconds{100});
     g.run(seconds{10});
     EXPECT_GT(g.share(2, seconds{1}, seconds{10}), 0.1);
-    EXPECT_LT(g.bad(seconds{1}, objective), 0.02);
+    EXPECT_LT(g.bad_share(seconds{1}, objective), 0.02);
 }
 
 // 320 reads a second where two servers do 400. If all went where it was quiet 300 ms ago, each would get
 // nothing and then three times what it can do: 100 reads in 300 ms where 60 can be done.
 TEST(uneven_servers, seventy_choosers_that_hear_late_do_not_swing) {
-    modelled_group g({always(milliseconds{20}), always(milliseconds{20})}, 320, milliseconds{300});
+    simulated_group g({always(milliseconds{20}), always(milliseconds{20})}, 320, milliseconds{300});
     g.run(seconds{20});
-    EXPECT_LT(g.bad(seconds{1}, objective), 0.01);
+    EXPECT_LT(g.bad_share(seconds{1}, objective), 0.01);
     for (int i = 2; i < 40; ++i) {
         const duration from = milliseconds{500} * i;
         EXPECT_GT(g.share(0, from, from + milliseconds{500}), 0.3) << i;
@@ -274,25 +274,25 @@
 }
 
 TEST(uneven_servers, a_far_idle_one_takes_over_from_a_near_one_with_a_queue_and_only_then) {
-    told_group g;
+    routed_group g;
     g.server("b").near = false;
-    g.tell("a", {.usual_answer = milliseconds{20}});
-    g.tell("b", {.usual_answer = milliseconds{20}}, milliseconds{6});
+    g.set_load("a", {.response_time = milliseconds{20}});
+    g.set_load("b", {.response_time = milliseconds{20}}, milliseconds{6});
     EXPECT_EQ(g.share("a"), 1.0) << "nothing crosses a border for nothing";
-    g.tell("a", {.running = 4, .waiting = 12, .usual_answer = milliseconds{20}, .wait = milliseconds{60}});
+    g.set_load("a", {.running = 4, .waiting = 12, .response_time = milliseconds{20}, .queue_delay = milliseconds{60}});
     EXPECT_GT(g.share("b"), 0.75);
 }
 
 TEST(uneven_servers, the_primary_reads_only_where_it_is_clearly_better_and_has_no_queue_of_its_own) {
-    told_group g;
-    g.tell("a", {.running = 4, .waiting = 20, .usual_answer = milliseconds{20}, .wait = milliseconds{100}});
-    g.tell("b", {.running = 4, .waiting = 20, .usual_answer = milliseconds{20}, .wait = milliseconds{100}});
-    g.tell("p", {.running = 1, .usual_answer = milliseconds{20}});
+    routed_group g;
+    g.set_load("a", {.running = 4, .waiting = 20, .response_time = milliseconds{20}, .queue_delay = milliseconds{100}});
+    g.set_load("b", {.running = 4, .waiting = 20, .response_time = milliseconds{20}, .queue_delay = milliseconds{100}});
+    g.set_load("p", {.running = 1, .response_time = milliseconds{20}});
     EXPECT_GT(g.share("p"), 0.3);
     EXPECT_LT(g.share("p"), 0.6) << "everyone else sees it idle as well";
-    g.tell("p", {.running = 4, .waiting = 1, .usual_answer = milliseconds{20}, .wait = milliseconds{5}});
+    g.set_load("p", {.running = 4, .waiting = 1, .response_time = milliseconds{20}, .queue_delay = milliseconds{5}});
     EXPECT_EQ(g.share("p"), 0.0);
-    g.tell("p", {.running = 1, .usual_answer = milliseconds{80}});
+    g.set_load("p", {.running = 1, .response_time = milliseconds{80}});
     EXPECT_EQ(g.share("p"), 0.0) << "not clearly better";
 }
 
@@ -303,11 +303,11 @@
 // From 2 to 6 s one of two servers takes so many times as long. The other can do all of it (160 of 200).
 TEST(bad_servers, one_that_turns_slow_is_left_and_taken_back) {
     for (const int times : {4, 8}) {
-        const conduct_of slow = [times](duration at) {
+        const behavior_at slow = [times](duration at) {
             const bool now_slow = at >= seconds{2} && at < seconds{6};
-            return conduct{.work = milliseconds{20} * (now_slow ? times : 1)};
+            return server_behavior{.service_time = milliseconds{20} * (now_slow ? times : 1)};
         };
-        modelled_group g({slow, always(milliseconds{20})}, 120, milliseconds{100});
+        simulated_group g({slow, always(milliseconds{20})}, 120, milliseconds{100});
         g.run(seconds{15});
         EXPECT_LT(g.share(0, seconds{3}, seconds{6}), 0.15) << times;
         EXPECT_GT(g.share(0, seconds{9}, seconds{15}), 0.35) << times;
@@ -315,10 +315,10 @@
 }
 
 TEST(bad_servers, one_that_fails_a_third_with_good_health_is_left_and_taken_back_slowly) {
-    const conduct_of failing = [](duration at) {
-        return conduct{.fails = at >= seconds{2} && at < seconds{6} ? 0.33 : 0.0};
+    const behavior_at failing = [](duration at) {
+        return server_behavior{.failure_ratio = at >= seconds{2} && at < seconds{6} ? 0.33 : 0.0};
     };
-    modelled_group g({failing, always(milliseconds{20})}, 120, milliseconds{100});
+    simulated_group g({failing, always(milliseconds{20})}, 120, milliseconds{100});
     g.run(seconds{20});
     EXPECT_LT(g.share(0, seconds{3}, seconds{6}), 0.1);
     EXPECT_LT(g.share(0, milliseconds{6000}, milliseconds{6500}), 0.15);
@@ -328,58 +328,58 @@
 // Well for a second and failing everything for the next, over and over: taken back at once each time, it
 // would fail a quarter of all reads.
 TEST(bad_servers, one_that_flaps_stays_out) {
-    const conduct_of flapping = [](duration at) {
-        return conduct{.fails = (at / seconds{1}) % 2 == 1 ? 1.0 : 0.0};
+    const behavior_at flapping = [](duration at) {
+        return server_behavior{.failure_ratio = (at / seconds{1}) % 2 == 1 ? 1.0 : 0.0};
     };
-    modelled_group g({flapping, always(milliseconds{20})}, 120, milliseconds{100});
+    simulated_group g({flapping, always(milliseconds{20})}, 120, milliseconds{100});
     g.run(seconds{12});
-    EXPECT_LT(g.bad(seconds{2}, objective), 0.03);
+    EXPECT_LT(g.bad_share(seconds{2}, objective), 0.03);
 }
 
 // The users' answers are good; only what else is heard of it is not.
 TEST(bad_servers, one_that_answers_well_stays_whatever_its_health_answers_say) {
-    told_group g;
+    routed_group g;
     server_view& a = g.server("a");
     a.silent = true;
     a.ejected_until = start + seconds{8};
     a.ramp = 0.1;
-    use_load(a, {.load = {.server = {"a"}, .usual_answer = milliseconds{20}, .as_of = start}});
-    g.tell("b", {.usual_answer = milliseconds{20}});
+    use_load(a, {.load = {.server = {"a"}, .response_time = milliseconds{20}, .as_of = start}});
+    g.set_load("b", {.response_time = milliseconds{20}});
     EXPECT_GT(g.share("a"), 0.4);
 }
 
 TEST(bad_servers, of_several_bad_ones_the_least_bad_stays_in_use) {
-    told_group g;
-    g.tell("a", {.usual_answer = milliseconds{20}, .failed = 0.9});
-    g.tell("b", {.usual_answer = milliseconds{20}, .failed = 0.3});
-    g.tell("p", {.running = 4, .waiting = 3, .usual_answer = milliseconds{20}, .wait = milliseconds{15}});
+    routed_group g;
+    g.set_load("a", {.response_time = milliseconds{20}, .failure_ratio = 0.9});
+    g.set_load("b", {.response_time = milliseconds{20}, .failure_ratio = 0.3});
+    g.set_load("p", {.running = 4, .waiting = 3, .response_time = milliseconds{20}, .queue_delay = milliseconds{15}});
     EXPECT_GT(g.share("b"), 0.7);
     EXPECT_EQ(g.share("p"), 0.0);
 }
 
 // Nobody reaches either replica: whatever is sent there comes back, and late.
 TEST(bad_servers, replicas_that_answer_nobody_leave_their_reads_to_the_primary_however_busy) {
-    told_group g;
-    g.tell("a", {.usual_answer = milliseconds{20}, .failed = 1});
-    g.tell("b", {.usual_answer = milliseconds{20}, .failed = 1});
-    g.tell("p", {.running = 4, .waiting = 3, .usual_answer = milliseconds{20}, .wait = milliseconds{15}});
+    routed_group g;
+    g.set_load("a", {.response_time = milliseconds{20}, .failure_ratio = 1});
+    g.set_load("b", {.response_time = milliseconds{20}, .failure_ratio = 1});
+    g.set_load("p", {.running = 4, .waiting = 3, .response_time = milliseconds{20}, .queue_delay = milliseconds{15}});
     EXPECT_GT(g.share("p"), 0.9);
     EXPECT_LT(g.share("p"), 1.0) << "or nobody would see them come back";
 }
 
 TEST(bad_servers, one_users_bad_luck_ejects_nobody) {
-    server_answers a;
+    response_stats a;
     time_point at = start;
     for (int i = 0; i < 100; ++i) {
         at += milliseconds{10};
-        note_ended(a, {.took = milliseconds{20}, .failed = i == 99}, at);
+        record_outcome(a, {.took = milliseconds{20}, .failed = i == 99}, at);
     }
-    EXPECT_LT(failed_share(a, at), 0.1);
-    server_answers bad;
+    EXPECT_LT(current_failure_ratio(a, at), 0.1);
+    response_stats bad;
     for (int i = 0; i < 100; ++i) {
-        note_ended(bad, {.answered = i % 3 != 0}, start + milliseconds{10} * i);
+        record_outcome(bad, {.answered = i % 3 != 0}, start + milliseconds{10} * i);
     }
-    EXPECT_GT(failed_share(bad, start + seconds{1}), 0.25);
+    EXPECT_GT(current_failure_ratio(bad, start + seconds{1}), 0.25);
 }
 
 //-----------------------------------------------------------------------------
@@ -389,7 +389,7 @@
 // The pattern: both replicas of a group idle while their primary has a queue. Each instance has ejected them
 // for failures of the way there.
 TEST(idle_servers, ejected_replicas_do_not_leave_everything_to_the_primary) {
-    told_group g;
+    routed_group g;
     g.server("a").ejected_until = start + seconds{8};
     g.server("b").ejected_until = start + seconds{4};
     EXPECT_EQ(g.share("b"), 1.0) << "the one that comes back first";
@@ -399,7 +399,7 @@
 
 // What an instance learned of a replica while that was slow stays, as long as nothing is sent there.
 TEST(idle_servers, a_replica_that_was_slow_once_is_tried_again) {
-    told_group g;
+    routed_group g;
     g.server("a").latency = milliseconds{400};
     g.server("b").latency = milliseconds{400};
     EXPECT_EQ(g.share("p"), 1.0);
@@ -409,18 +409,18 @@
 }
 
 TEST(idle_servers, a_load_of_a_server_that_nobody_asks_fades_to_its_quick_times) {
-    server_answers a;
+    response_stats a;
     time_point at = start;
     const auto answer = [&](duration took, int times) {
         for (int i = 0; i < times; ++i) {
             at += milliseconds{10};
-            note_ended(a, {.took = took}, at);
+            record_outcome(a, {.took = took}, at);
         }
     };
     answer(milliseconds{20}, 50);
     answer(milliseconds{400}, 50);
-    EXPECT_GT(usual_answer(a, at), milliseconds{300});
-    EXPECT_LT(usual_answer(a, at + seconds{2}), milliseconds{60});
+    EXPECT_GT(current_response_time(a, at), milliseconds{300});
+    EXPECT_LT(current_response_time(a, at + seconds{2}), milliseconds{60});
 }
 
 // An observer that is not answered itself tells the same old sample over and over.
@@ -436,11 +436,11 @@
     const time_point now = start + seconds{3};
     const duration trust = routing_settings{}.position_trust;
     add_server_sample(p, {"a"}, old, start + seconds{2});
-    EXPECT_FALSE(is_likely_to_hold(p, {"a"}, 1, 290, start + milliseconds{2100}, trust));
+    EXPECT_FALSE(likely_has_position(p, {"a"}, 1, 290, start + milliseconds{2100}, trust));
     for (int i = 0; i < 10; ++i) {
         add_server_sample(p, {"a"}, old, now - milliseconds{10 * i});
     }
-    EXPECT_TRUE(is_likely_to_hold(p, {"a"}, 1, 290, now, trust)) << "it is asked again";
+    EXPECT_TRUE(likely_has_position(p, {"a"}, 1, 290, now, trust)) << "it is asked again";
 }
 
 TEST(idle_servers, the_lag_of_a_position_that_was_told_late_is_not_that_of_the_telling) {
@@ -454,7 +454,7 @@
     // At 2.7 s it stood where the primary was at 2.65 s; that is heard at 3 s.
     add_server_sample(p, {"a"}, {.not_before = start + milliseconds{2700}, .timeline = 1, .position = 265},
                       start + milliseconds{2710});
-    EXPECT_TRUE(is_likely_to_hold(p, {"a"}, 1, 290, start + seconds{3}, seconds{1}));
+    EXPECT_TRUE(likely_has_position(p, {"a"}, 1, 290, start + seconds{3}, seconds{1}));
 }
 
 // 400 reads a second at the primary, since both replicas are known to be behind; then one has caught up.
@@ -462,14 +462,14 @@
 TEST(idle_servers, a_replica_takes_reads_soon_after_its_log_is_far_enough) {
     std::vector<duration> found;
     for (int seed = 1; seed <= 40; ++seed) {
-        told_group g;
+        routed_group g;
         g.random.seed(static_cast<std::uint64_t>(seed));
-        g.tell("p", {.running = 4, .waiting = 4, .usual_answer = milliseconds{20}, .wait = milliseconds{20}});
+        g.set_load("p", {.running = 4, .waiting = 4, .response_time = milliseconds{20}, .queue_delay = milliseconds{20}});
         add_primary_sample(g.positions, 1,
                            {.not_before = start + milliseconds{1}, .timeline = 1, .position = 20});
         g.session.wrote = session_token{.group = {"g"}, .term = 1, .position = 20};
         for (const char* id : {"a", "b"}) { // far behind: it has been so for long
-            g.tell(id, {.usual_answer = milliseconds{20}});
+            g.set_load(id, {.response_time = milliseconds{20}});
             g.positions.servers[{id}].lag = seconds{10};
         }
         duration at = milliseconds{2};
@@ -505,26 +505,26 @@
 //-----------------------------------------------------------------------------
 
 TEST(loads, are_forgotten_and_bounded_and_an_older_one_replaces_no_newer) {
-    load_book b;
-    EXPECT_TRUE(take_load(b, {.server = {"a"}, .running = 3, .as_of = start}));
-    EXPECT_FALSE(take_load(b, {.server = {"a"}, .running = 1, .as_of = start - milliseconds{1}}));
+    load_cache b;
+    EXPECT_TRUE(update_load(b, {.server = {"a"}, .running = 3, .as_of = start}));
+    EXPECT_FALSE(update_load(b, {.server = {"a"}, .running = 1, .as_of = start - milliseconds{1}}));
     note_sent(b, {"a"});
     EXPECT_EQ(find_load(b, {"a"}, start)->sent_since, 1U);
-    EXPECT_TRUE(take_load(b, {.server = {"a"}, .running = 4, .as_of = start + milliseconds{1}}));
+    EXPECT_TRUE(update_load(b, {.server = {"a"}, .running = 4, .as_of = start + milliseconds{1}}));
     EXPECT_EQ(find_load(b, {"a"}, start)->sent_since, 0U) << "counted there";
     EXPECT_FALSE(find_load(b, {"a"}, start + seconds{1}));
     for (std::size_t i = 0; i < 2 * max_known_loads; ++i) {
-        take_load(b, {.server = {std::to_string(i)}, .as_of = start + milliseconds{2}});
-        note_way(b, {std::to_string(i)}, milliseconds{1});
+        update_load(b, {.server = {std::to_string(i)}, .as_of = start + milliseconds{2}});
+        record_round_trip_delay(b, {std::to_string(i)}, milliseconds{1});
     }
     EXPECT_LE(b.loads.size(), max_known_loads);
-    EXPECT_LE(b.ways.size(), max_known_loads);
-    forget_old(b, start + seconds{1});
+    EXPECT_LE(b.round_trip_delays.size(), max_known_loads);
+    evict_old_loads(b, start + seconds{1});
     EXPECT_TRUE(b.loads.empty());
 }
 
 TEST(loads, where_none_is_told_the_choice_is_by_this_instances_own_answers) {
-    told_group g;
+    routed_group g;
     g.server("b").latency = milliseconds{40};
     EXPECT_GT(g.share("a"), 0.7);
     g.server("a").near = false;
@@ -532,24 +532,24 @@
 }
 
 TEST(loads, what_this_instance_sent_since_counts) {
-    known_load k{.load = {.slots = 4, .running = 3, .usual_answer = milliseconds{20}}};
-    EXPECT_TRUE(has_short_queue(k));
+    known_load k{.load = {.slots = 4, .running = 3, .response_time = milliseconds{20}}};
+    EXPECT_TRUE(has_free_slot(k));
     const duration before = expected_completion(k);
     k.sent_since = 4;
-    EXPECT_FALSE(has_short_queue(k));
+    EXPECT_FALSE(has_free_slot(k));
     EXPECT_EQ(expected_completion(k), before + milliseconds{20});
 }
 
 TEST(loads, small_changes_are_not_worth_telling) {
-    const server_load told{.running = 4, .waiting = 8, .usual_answer = milliseconds{20}};
+    const server_load told{.running = 4, .waiting = 8, .response_time = milliseconds{20}};
     server_load now = told;
     now.waiting = 9;
-    EXPECT_FALSE(differs(told, now));
+    EXPECT_FALSE(differs_significantly(told, now));
     now.waiting = 16;
-    EXPECT_TRUE(differs(told, now));
+    EXPECT_TRUE(differs_significantly(told, now));
     now = told;
-    now.failed = 0.2;
-    EXPECT_TRUE(differs(told, now));
+    now.failure_ratio = 0.2;
+    EXPECT_TRUE(differs_significantly(told, now));
 }
 
 //-----------------------------------------------------------------------------
@@ -558,18 +558,18 @@
 
 // An instance that runs at a fifth of its usual speed holds each answer up by tens of milliseconds.
 TEST(slow_lenders, are_told_from_far_ones_by_what_they_add) {
-    lender_book b;
+    lender_tracker b;
     for (int i = 0; i < 20; ++i) {
-        note_excess(b, "near", milliseconds{1});
-        note_excess(b, "far", milliseconds{7});
-        note_excess(b, "slow", milliseconds{40});
+        record_round_trip_delay(b, "near", milliseconds{1});
+        record_round_trip_delay(b, "far", milliseconds{7});
+        record_round_trip_delay(b, "slow", milliseconds{40});
     }
     EXPECT_FALSE(is_slow(b, "near"));
     EXPECT_FALSE(is_slow(b, "far"));
     EXPECT_TRUE(is_slow(b, "slow"));
     EXPECT_FALSE(is_slow(b, "unknown"));
     for (int i = 0; i < 40; ++i) {
-        note_excess(b, "slow", milliseconds{2});
+        record_round_trip_delay(b, "slow", milliseconds{2});
     }
     EXPECT_FALSE(is_slow(b, "slow")) << "it has recovered";
 }
--- a/tests/core_test.cpp
+++ b/tests/core_test.cpp
@@ -653,12 +653,12 @@
     server_health h;
     const time_point now{std::chrono::seconds{100}};
     for (int i = 0; i < 3; ++i) {
-        note_started(h);
-        note_failed(h, now);
+        record_start(h);
+        record_failure(h, now);
     }
     EXPECT_GT(h.ejected_until, now);
-    EXPECT_LT(read_ramp(h, h.ejected_until), 0.2);
-    EXPECT_EQ(read_ramp(h, h.ejected_until + std::chrono::seconds{10}), 1.0);
+    EXPECT_LT(slow_start_factor(h, h.ejected_until), 0.2);
+    EXPECT_EQ(slow_start_factor(h, h.ejected_until + std::chrono::seconds{10}), 1.0);
 }
 
 // The pattern: both replicas of a group are cut off for some seconds. Their failures must not keep reads on
@@ -666,11 +666,11 @@
 TEST(health, a_penalty_for_failures_wears_off_without_news) {
     server_health h;
     time_point now{std::chrono::seconds{100}};
-    note_started(h);
-    note_succeeded(h, std::chrono::milliseconds{20}, now);
+    record_start(h);
+    record_success(h, std::chrono::milliseconds{20}, now);
     for (int i = 0; i < 12; ++i) {
-        note_started(h);
-        note_failed(h, now);
+        record_start(h);
+        record_failure(h, now);
     }
     EXPECT_GE(expected_latency(h, now), std::chrono::seconds{1});
     now += std::chrono::milliseconds{3500};
@@ -684,20 +684,20 @@
 TEST(health, a_request_that_goes_away_unanswered_says_nothing_of_its_server) {
     server_health h;
     const time_point now{std::chrono::seconds{1}};
-    note_started(h);
-    note_succeeded(h, std::chrono::milliseconds{100}, now);
+    record_start(h);
+    record_success(h, std::chrono::milliseconds{100}, now);
     for (int i = 0; i < 2; ++i) {
-        note_started(h);
-        note_failed(h, now);
+        record_start(h);
+        record_failure(h, now);
     }
     const server_health before = h;
     for (int i = 0; i < 50; ++i) {
-        note_started(h);
-        note_left(h);
+        record_start(h);
+        record_abandoned(h);
     }
     EXPECT_EQ(h, before);
-    note_started(h);
-    note_failed(h, now);
+    record_start(h);
+    record_failure(h, now);
     EXPECT_GT(h.ejected_until, now) << "the third failure in a row";
 }
 
@@ -705,8 +705,8 @@
     retry_budget b;
     int retries = 0;
     for (int i = 0; i < 1000; ++i) {
-        note_request(b);
-        retries += take_retry(b) ? 1 : 0;
+        refill_for_request(b);
+        retries += try_take_retry(b) ? 1 : 0;
     }
     EXPECT_LE(retries, 111);
 }
--- a/tests/cut_off_test.cpp
+++ b/tests/cut_off_test.cpp
@@ -309,11 +309,11 @@
 
 TEST(lenders, lost_ones_are_asked_last) {
     const std::vector<lender> homes{{"a", false, 0, true}, {"b", true}};
-    lender_book book;
+    lender_tracker book;
     std::mt19937_64 random{1};
     const time_point now{std::chrono::seconds{10}};
     EXPECT_EQ(order_lenders(book, {"s"}, homes, now, random).front(), "b");
-    note_silent(book, "b", now);
+    mark_silent(book, "b", now);
     EXPECT_EQ(order_lenders(book, {"s"}, homes, now, random).front(), "b");
 }
 
--- a/tests/lenders_test.cpp
+++ b/tests/lenders_test.cpp
@@ -12,31 +12,31 @@
 using std::chrono::milliseconds;
 
 const server_id server{"s1"};
-const std::vector<lender> seven{{"a1", false}, {"a2", false}, {"b1", true}, {"b2", true},
+const std::vector<lender> candidates{{"a1", false}, {"a2", false}, {"b1", true}, {"b2", true},
                                 {"c1", true},  {"c2", true},  {"c3", true}};
 
-struct asking {
-    lender_book book;
+struct lender_selection {
+    lender_tracker tracker;
     std::mt19937_64 random{1};
     time_point now{std::chrono::seconds{10}};
-    std::vector<std::string> order() { return order_lenders(book, server, seven, now, random); }
+    std::vector<std::string> order() { return order_lenders(tracker, server, candidates, now, random); }
 };
 
 TEST(lenders, near_ones_come_first_and_silent_ones_last) {
-    asking a;
-    note_silent(a.book, "a1", a.now);
+    lender_selection a;
+    mark_silent(a.tracker, "a1", a.now);
     EXPECT_EQ(a.order().front(), "a2");
     EXPECT_EQ(a.order().back(), "a1") << "before far ones, once it is heard again";
-    EXPECT_TRUE(note_heard(a.book, "a1"));
-    EXPECT_FALSE(note_heard(a.book, "a1"));
+    EXPECT_TRUE(mark_responsive(a.tracker, "a1"));
+    EXPECT_FALSE(mark_responsive(a.tracker, "a1"));
     EXPECT_TRUE(a.order()[0] == "a1" || a.order()[1] == "a1");
-    a.book.lent_last[server] = "c2";
+    a.tracker.last_lender[server] = "c2";
     EXPECT_EQ(a.order().front(), "c2");
 }
 
 // The pattern: 400 requests in a second, and one of seven instances has a connection to the server.
 TEST(lenders, the_one_that_has_a_connection_is_found_with_few_questions) {
-    asking a;
+    lender_selection a;
     unsigned questions = 0;
     unsigned served = 0;
     for (int request = 0; request < 400; ++request) {
@@ -44,11 +44,11 @@
         for (const std::string& address : a.order()) {
             ++questions;
             if (address == "c1") {
-                a.book.lent_last[server] = address;
+                a.tracker.last_lender[server] = address;
                 ++served;
                 break;
             }
-            note_without_connection(a.book, server, address, a.now);
+            mark_without_connection(a.tracker, server, address, a.now);
         }
     }
     EXPECT_EQ(served, 400U);
@@ -56,7 +56,7 @@
 }
 
 TEST(lenders, where_nobody_has_one_each_request_asks_one_and_each_lender_is_asked_now_and_then) {
-    asking a;
+    lender_selection a;
     unsigned questions = 0;
     std::set<std::string> asked;
     for (int request = 0; request < 400; ++request) {
@@ -64,44 +64,44 @@
         for (const std::string& address : a.order()) {
             ++questions;
             asked.insert(address);
-            note_without_connection(a.book, server, address, a.now);
+            mark_without_connection(a.tracker, server, address, a.now);
         }
     }
     EXPECT_LE(questions, 480U) << "five for each request before";
-    EXPECT_EQ(asked.size(), seven.size());
+    EXPECT_EQ(asked.size(), candidates.size());
 }
 
 // A cut between this instance and a lender, for seconds: questions stay open until their deadlines.
 TEST(lenders, behind_a_cut_cost_the_requests_of_a_quarter_of_a_second_only) {
-    lender_book b;
+    lender_tracker b;
     time_point at{std::chrono::seconds{10}};
     const std::string lost = "10.0.0.1:1";
-    note_asked(b, lost, at);
-    at += reach_patience / 2;
-    EXPECT_TRUE(take_pings(b, at).empty()) << "a usual answer may take so long";
-    at += reach_patience;
-    EXPECT_EQ(take_pings(b, at), std::vector<std::string>{lost});
+    record_request(b, lost, at);
+    at += reachability_timeout / 2;
+    EXPECT_TRUE(take_due_pings(b, at).empty()) << "a usual answer may take so long";
+    at += reachability_timeout;
+    EXPECT_EQ(take_due_pings(b, at), std::vector<std::string>{lost});
     EXPECT_TRUE(is_silent(b, lost, at));
     for (int i = 0; i < 100; ++i) {
         at += std::chrono::milliseconds{50};
-        take_pings(b, at);
+        take_due_pings(b, at);
         EXPECT_TRUE(is_silent(b, lost, at)) << "as long as no ping is answered";
     }
-    EXPECT_TRUE(note_heard(b, lost));
+    EXPECT_TRUE(mark_responsive(b, lost));
     EXPECT_FALSE(is_silent(b, lost, at));
-    EXPECT_TRUE(take_pings(b, at + std::chrono::seconds{1}).empty());
+    EXPECT_TRUE(take_due_pings(b, at + std::chrono::seconds{1}).empty());
 }
 
 TEST(lenders, are_asked_in_the_order_of_their_ranks_where_they_have_some) {
-    lender_book b;
+    lender_tracker b;
     std::mt19937_64 random(1);
     const std::vector<lender> homes{
-        {.address = "a", .rank = 7}, {.address = "b", .rank = 3}, {.address = "c", .far = true, .rank = 1}};
+        {.address = "a", .rank = 7}, {.address = "b", .rank = 3}, {.address = "c", .in_other_domain = true, .rank = 1}};
     const time_point at{std::chrono::seconds{10}};
     for (int i = 0; i < 20; ++i) {
         EXPECT_EQ(order_lenders(b, {"s"}, homes, at, random), (std::vector<std::string>{"b", "a", "c"}));
     }
-    note_silent(b, "b", at);
+    mark_silent(b, "b", at);
     EXPECT_EQ(order_lenders(b, {"s"}, homes, at, random).front(), "a");
 }
 
--- a/tests/ordering_test.cpp
+++ b/tests/ordering_test.cpp
@@ -28,10 +28,10 @@
 
 constexpr unsigned few_connections = 46;
 
-struct listed_site {
+struct test_cluster {
     cluster_state state;
 
-    listed_site(int instances, int servers, int domains = 3) {
+    test_cluster(int instances, int servers, int domains = 3) {
         for (int i = 0; i < instances; ++i) {
             add_instance(i, domains);
         }
@@ -51,7 +51,7 @@
                                  .address = "10.0.0." + std::to_string(i) + ":1",
                                  .accepts_clients = true};
     }
-    [[nodiscard]] std::map<server_id, instance_id> firsts() const {
+    [[nodiscard]] std::map<server_id, instance_id> first_homes() const {
         std::map<server_id, instance_id> all;
         for (const auto& [id, server] : state.servers) {
             all[id] = order_homes(state, id, 1).front();
@@ -61,7 +61,7 @@
 };
 
 TEST(order_homes, names_all_that_take_callers_and_those_beside_the_server_first) {
-    listed_site s(70, 24);
+    test_cluster s(70, 24);
     s.state.instances.at({"e3"}).accepts_clients = false;
     for (const auto& [id, server] : s.state.servers) {
         const auto homes = order_homes(s.state, id, few_connections);
@@ -77,8 +77,8 @@
 }
 
 TEST(order_homes, is_the_same_whatever_else_an_instance_knows) {
-    listed_site a(70, 24);
-    listed_site b(0, 24);
+    test_cluster a(70, 24);
+    test_cluster b(0, 24);
     for (int i = 69; i >= 0; --i) {
         b.add_instance(i);
     }
@@ -93,9 +93,9 @@
 // each place is the load of a whole server.
 TEST(order_homes, spreads_the_first_places_evenly) {
     for (const auto& [instances, servers] : {std::pair{70, 24}, {9, 24}, {30, 24}, {4, 24}, {300, 90}}) {
-        const listed_site s(instances, servers);
+        const test_cluster s(instances, servers);
         std::map<instance_id, std::size_t> places;
-        for (const auto& [server, first] : s.firsts()) {
+        for (const auto& [server, first] : s.first_homes()) {
             ++places[first];
         }
         for (const auto& [instance, count] : places) {
@@ -111,13 +111,13 @@
 
 // Each move costs a server's connections, which are opened anew.
 TEST(order_homes, moves_few_servers_when_an_instance_comes_or_goes) {
-    const listed_site whole(70, 24);
-    const auto before = whole.firsts();
+    const test_cluster whole(70, 24);
+    const auto before = whole.first_homes();
     std::size_t moved_in_all = 0;
     for (int i = 0; i < 70; ++i) {
-        listed_site less = whole;
+        test_cluster less = whole;
         less.state.instances.erase({"e" + std::to_string(i)});
-        const auto after = less.firsts();
+        const auto after = less.first_homes();
         std::size_t moved = 0;
         std::size_t had_to_move = 0;
         for (const auto& [server, first] : before) {
@@ -132,16 +132,16 @@
 }
 
 TEST(order_homes, is_empty_where_everybody_holds_connections_and_for_an_unknown_server) {
-    const listed_site s(70, 24);
+    const test_cluster s(70, 24);
     EXPECT_TRUE(order_homes(s.state, {"s1"}, 140).empty());
     EXPECT_FALSE(order_homes(s.state, {"s1"}, 139).empty());
     EXPECT_TRUE(order_homes(s.state, {"nobody"}, few_connections).empty());
-    const listed_site alone(0, 1);
+    const test_cluster alone(0, 1);
     EXPECT_TRUE(order_homes(alone.state, {"s0"}, 0).empty());
 }
 
 TEST(order_homes, begins_elsewhere_where_nobody_beside_the_server_takes_callers) {
-    listed_site s(9, 3);
+    test_cluster s(9, 3);
     for (auto& [id, instance] : s.state.instances) {
         instance.accepts_clients = instance.domain.value != "z0";
     }
@@ -153,15 +153,15 @@
 //-----------------------------------------------------------------------------
 
 // Control alone, whose commands apply as soon as proposed.
-struct announcing_site {
+struct announcing_server {
     control_state control;
     cluster_state cluster;
     time_point now{seconds{100}};
     std::uint64_t sequence = 0;
 
-    announcing_site() { start_leading(control, 3, now); }
+    announcing_server() { start_leading(control, 3, now); }
 
-    void tell(unsigned told, std::uint64_t started) {
+    void announce(unsigned told, std::uint64_t started) {
         server_announcement a;
         a.record = {.id = {"s1"}, .group = {"g"}, .host = "127.0.0.1", .port = 5, .domain = {"z"}};
         a.record.start_time_ms = started;
@@ -183,24 +183,24 @@
         }
         now += milliseconds{100};
     }
-    [[nodiscard]] unsigned agreed() const { return cluster.servers.at({"s1"}).slots; }
+    [[nodiscard]] unsigned agreed_slots() const { return cluster.servers.at({"s1"}).slots; }
 };
 
 TEST(slots, are_agreed_and_follow_what_a_server_tells) {
-    announcing_site s;
-    s.tell(4, 10);
-    EXPECT_EQ(s.agreed(), 4U);
+    announcing_server s;
+    s.announce(4, 10);
+    EXPECT_EQ(s.agreed_slots(), 4U);
     const revision_number before = s.cluster.revision;
-    s.tell(4, 10);
+    s.announce(4, 10);
     EXPECT_EQ(s.cluster.revision, before) << "nothing new";
-    s.tell(6, 10);
-    EXPECT_EQ(s.agreed(), 6U) << "a changed number is a changed record";
-    s.tell(0, 10);
-    EXPECT_EQ(s.agreed(), 6U) << "told once, it goes on to hold for this start";
-    s.tell(0, 20);
-    EXPECT_EQ(s.agreed(), 0U) << "another start told nothing";
-    s.tell(5, 20);
-    EXPECT_EQ(s.agreed(), 5U);
+    s.announce(6, 10);
+    EXPECT_EQ(s.agreed_slots(), 6U) << "a changed number is a changed record";
+    s.announce(0, 10);
+    EXPECT_EQ(s.agreed_slots(), 6U) << "told once, it goes on to hold for this start";
+    s.announce(0, 20);
+    EXPECT_EQ(s.agreed_slots(), 0U) << "another start told nothing";
+    s.announce(5, 20);
+    EXPECT_EQ(s.agreed_slots(), 5U);
 }
 
 TEST(slots, are_kept_by_what_passes_between_instances) {
@@ -218,7 +218,7 @@
 
 constexpr unsigned slots = 4;
 
-struct work {
+struct server_work {
     connection_number connection = 0;
     duration length{0};
     bool is_opening = false;
@@ -227,17 +227,17 @@
 
 struct transaction {
     unsigned statements_left = 0; // after the first one
-    duration rest{0};             // before each
+    duration pause{0};             // before each
 };
 
 // A pool and its server, in virtual time. The server runs `slots` statements or openings at once and the rest
 // in the order of arrival.
-struct ordered_pool {
+struct simulated_pool {
     pool_state p;
     time_point now{seconds{1}};
     connection_number next = 1;
     request_number next_request = 1;
-    std::vector<work> at_server; // in the order of arrival
+    std::vector<server_work> at_server; // in the order of arrival
     std::map<request_number, duration> lengths;
     std::map<request_number, transaction> transactions; // asked for
     std::map<connection_number, transaction> open;      // under way
@@ -249,7 +249,7 @@
     unsigned most_at_once = 0;
     duration waited_by_transactions{0};
 
-    explicit ordered_pool(unsigned permits, unsigned share = few_connections) {
+    explicit simulated_pool(unsigned permits, unsigned share = few_connections) {
         p.share = share;
         p.limit.permits = permits;
         p.background_share = 100;
@@ -277,13 +277,13 @@
         }
     }
     // New work, for which there must be a place.
-    void begin(const work& w) {
+    void begin(const server_work& w) {
         if (p.limit.permits > 0) {
             EXPECT_LT(at_server.size(), p.limit.permits);
         }
         send(w);
     }
-    void send(const work& w) {
+    void send(const server_work& w) {
         at_server.push_back(w);
         start_work();
         most_at_once = std::max(most_at_once, static_cast<unsigned>(at_server.size()));
@@ -309,7 +309,7 @@
         carry_out(actions);
         return r;
     }
-    void finish(const work& w) {
+    void finish(const server_work& w) {
         pool_actions actions;
         if (w.is_opening) {
             connection_opened(p, w.connection, now, next, actions);
@@ -320,7 +320,7 @@
         const bool stays = under_way != open.end() && under_way->second.statements_left > 0;
         statement_ended(p, w.connection, {.took = w.length, .stays = stays}, now, next, actions);
         if (stays) {
-            next_statement_at[w.connection] = now + under_way->second.rest;
+            next_statement_at[w.connection] = now + under_way->second.pause;
         } else {
             open.erase(w.connection);
             release_connection(p, w.connection, true, now - given[w.connection], now, next, actions);
@@ -330,15 +330,15 @@
     // One millisecond passes.
     void step() {
         now += milliseconds{1};
-        std::vector<work> done;
-        for (const work& w : at_server) {
+        std::vector<server_work> done;
+        for (const server_work& w : at_server) {
             if (w.ends != time_point{} && w.ends <= now) {
                 done.push_back(w);
             }
         }
-        std::erase_if(at_server, [&](const work& w) { return w.ends != time_point{} && w.ends <= now; });
+        std::erase_if(at_server, [&](const server_work& w) { return w.ends != time_point{} && w.ends <= now; });
         start_work();
-        for (const work& w : done) {
+        for (const server_work& w : done) {
             finish(w);
         }
         std::vector<connection_number> due;
@@ -365,7 +365,7 @@
 };
 
 TEST(places, are_as_many_as_slots_and_one_and_openings_take_one) {
-    ordered_pool s(slots + 1);
+    simulated_pool s(slots + 1);
     for (int i = 0; i < 60; ++i) {
         s.ask(request_class::normal, milliseconds{20});
     }
@@ -378,7 +378,7 @@
 }
 
 TEST(places, of_a_standby_are_one) {
-    ordered_pool s(1);
+    simulated_pool s(1);
     for (int i = 0; i < 5; ++i) {
         s.ask(request_class::normal, milliseconds{20});
     }
@@ -389,8 +389,8 @@
 
 // A transaction that waited behind new work would hold its locks meanwhile.
 TEST(places, are_never_needed_by_a_transaction_that_is_under_way) {
-    ordered_pool s(slots + 1);
-    s.ask(request_class::background, milliseconds{8}, "", {.statements_left = 3, .rest = milliseconds{5}});
+    simulated_pool s(slots + 1);
+    s.ask(request_class::background, milliseconds{8}, "", {.statements_left = 3, .pause = milliseconds{5}});
     s.run(milliseconds{21});
     ASSERT_EQ(s.open.size(), 1U);
     const connection_number c = s.open.begin()->first;
@@ -411,9 +411,9 @@
 }
 
 TEST(places, are_not_held_by_transactions_that_rest) {
-    ordered_pool s(slots + 1);
+    simulated_pool s(slots + 1);
     for (int i = 0; i < 8; ++i) {
-        s.ask(request_class::normal, milliseconds{8}, "", {.statements_left = 1, .rest = seconds{30}});
+        s.ask(request_class::normal, milliseconds{8}, "", {.statements_left = 1, .pause = seconds{30}});
     }
     s.run(milliseconds{200});
     EXPECT_EQ(s.open.size(), 8U) << "all rest";
@@ -424,7 +424,7 @@
 
 // Whoever needs an opening is not passed over for ever by those whose connections are open.
 TEST(places, are_kept_for_a_workspace_that_has_no_connection) {
-    ordered_pool s(slots + 1);
+    simulated_pool s(slots + 1);
     for (int i = 0; i < 40; ++i) {
         s.ask(request_class::normal, milliseconds{10}, "large");
     }
@@ -444,7 +444,7 @@
 
 // What a lower number, or none, does to the work that is there.
 TEST(places, may_be_taken_away_and_given_while_work_runs) {
-    ordered_pool s(0);
+    simulated_pool s(0);
     for (int i = 0; i < 20; ++i) {
         s.ask(request_class::normal, milliseconds{20});
     }
@@ -555,7 +555,7 @@
     for (const std::uint64_t seed : {1U, 2U, 3U}) {
         std::mt19937_64 random(seed);
         const auto number = [&random](unsigned below) { return static_cast<unsigned>(random() % below); };
-        ordered_pool s(slots + 1);
+        simulated_pool s(slots + 1);
         duration idle{0};
         duration counted{0};
         std::map<request_number, time_point> asked; // urgent ones
@@ -573,7 +573,7 @@
                     s.ask(request_class::normal, milliseconds{12 + number(18)}, workspace);
                 } else {
                     s.ask(request_class::normal, milliseconds{8}, workspace,
-                          {.statements_left = 2, .rest = milliseconds{30}});
+                          {.statements_left = 2, .pause = milliseconds{30}});
                 }
             }
             const std::size_t used_before = s.used.size();
