--- a/bench/model/loaded_group.cpp
+++ b/bench/model/loaded_group.cpp
@@ -47,7 +47,7 @@
             entries_[e].health.resize(servers_.size());
             for (std::size_t s = 0; s < servers_.size(); ++s) {
                 pool_actions actions;
-                entries_[e].pools[s].limit.most = pattern_.running_at_most;
+                entries_[e].pools[s].limit.aimd_limit = pattern_.running_at_most;
                 set_share(entries_[e].pools[s], pattern_.shares[e], now_, next_connection_, actions);
                 carry_out(e, s, actions);
             }
@@ -154,7 +154,7 @@
                     connection_opened(entries_[e].pools[s], c, now_, next_connection_, more);
                     carry_out(e, s, more);
                 });
-            } else if (const auto* used = std::get_if<use_connection>(&action)) {
+            } else if (const auto* used = std::get_if<assign_connection>(&action)) {
                 const auto node = entries_[e].waiting.extract(used->request);
                 node.mapped().use(used->connection);
             } else if (const auto* refused = std::get_if<refuse_request>(&action)) {
@@ -254,7 +254,7 @@
                                                record_abandoned(entries_[a.entry].health[a.server]);
                                                give_up(a.who, a.entry);
                                            }};
-        const int parts = (transaction ? transaction_parts : 1) * (policy_.a_third_of_patience ? 3 : 1);
+        const int parts = (transaction ? transaction_time_divisor : 1) * (policy_.a_third_of_patience ? 3 : 1);
         pool_actions actions;
         request_connection(entries_[e].pools[*s],
                            {.request = number,
@@ -275,7 +275,7 @@
     void run(const attempt& a) {
         const request_kind& kind = pattern_.kinds[a.who.kind];
         pool_state& pool = entries_[a.entry].pools[a.server];
-        statement_begun(pool, a.connection);
+        statement_started(pool, a.connection);
         at(now_ + round_trip, [this, a, sent_at = now_, work = exponential(kind.work)] {
             send(a.server,
                  {.entry = a.entry, .work = work, .answered = [this, a, sent_at] { on_answer(a, sent_at); }});
@@ -288,10 +288,10 @@
         --a.left;
         pool_actions actions;
         statement_ended(pool, a.connection,
-                        {.took = now_ - sent_at, .klass = kind.klass, .crowded = false, .stays = a.left > 0},
+                        {.took = now_ - sent_at, .klass = kind.klass, .overloaded = false, .in_transaction = a.left > 0},
                         now_, next_connection_, actions);
         if (policy_.no_running_limit || pattern_.running_at_most > 0) {
-            pool.limit.most = pattern_.running_at_most;
+            pool.limit.aimd_limit = pattern_.running_at_most;
         }
         carry_out(a.entry, a.server, actions);
         if (a.left > 0) {
--- a/src/core/admission.cpp
+++ b/src/core/admission.cpp
@@ -3,7 +3,7 @@
 namespace larchpin {
 
 admission admit(const table& t, const route_entry& route, const std::string& key_digest,
-                bool table_is_newest) {
+                bool table_is_current) {
     if (!t.requires_key) {
         return {.verdict = admission_verdict::admitted, .workspace = {}};
     }
@@ -13,7 +13,7 @@
     if (route.is_public) {
         return {.verdict = admission_verdict::admitted, .workspace = {}};
     }
-    return {.verdict = table_is_newest ? admission_verdict::refused : admission_verdict::not_known,
+    return {.verdict = table_is_current ? admission_verdict::refused : admission_verdict::undetermined,
             .workspace = {}};
 }
 
--- a/src/core/admission.hpp
+++ b/src/core/admission.hpp
@@ -13,7 +13,7 @@
 enum class admission_verdict : std::uint8_t {
     admitted,
     refused,   // the newest table holds no such key
-    not_known, // the table may be old
+    undetermined, // the table may be old
 };
 
 struct admission {
@@ -24,6 +24,6 @@
 
 // `key_digest` is of what the caller showed. Asked anew for each transaction: a key may be taken away.
 admission admit(const table& t, const route_entry& route, const std::string& key_digest,
-                bool table_is_newest);
+                bool table_is_current);
 
 } // namespace larchpin
--- a/src/core/control.cpp
+++ b/src/core/control.cpp
@@ -179,7 +179,7 @@
         const auto claim = d.claims.find(key);
         const unsigned held = held_share(d, key);
         if (claim == d.claims.end() && held == 0) {
-            forget_holder(c.shares, key, d.holder);
+            remove_holder(c.shares, key, d.holder);
             return true;
         }
         note_holder(c.shares, key, d.holder, held, claim == d.claims.end() ? 0 : claim->second.wanted);
@@ -266,7 +266,7 @@
     reply.lease = c.config.lease;
     remove_expired_leases(d, now);
     record_lease(d, reply.revision, expires_at);
-    c.shares.counts_until[d.holder] = expires_at + grantor_length(c.config.share_grace);
+    c.shares.held_until[d.holder] = expires_at + grantor_length(c.config.share_grace);
 }
 
 } // namespace
@@ -291,7 +291,7 @@
     c.next_operation = next_operation;
     c.leading = true;
     c.leading_since = now;
-    c.rates.since = now;
+    c.rates.term_started_at = now;
     c.leader_term = leader_term;
 }
 
@@ -334,13 +334,13 @@
         d = daemon_state{};
         d.leases = leases;
         d.incarnation = r.incarnation;
-        c.rates.callers.erase(r.instance.id);
-        forget_holder(c.shares, number_holder(c.shares, r.instance.id));
+        c.rates.last_requests.erase(r.instance.id);
+        remove_holder(c.shares, assign_holder_number(c.shares, r.instance.id));
     } else if (r.incarnation != d.incarnation) {
         reply.code = result_code::bad_message; // an earlier life of this instance
         return reply;
     }
-    d.holder = number_holder(c.shares, r.instance.id);
+    d.holder = assign_holder_number(c.shares, r.instance.id);
     d.domain = r.instance.domain;
     d.confirmed_revision = std::max(d.confirmed_revision, r.applied_revision);
     d.last_renewal_at = now;
@@ -358,7 +358,7 @@
         d.leases.clear();
         d.claims.clear();
         d.unconfirmed_replies.clear();
-        forget_holder(c.shares, d.holder);
+        remove_holder(c.shares, d.holder);
         return reply;
     }
     reply.seq = make_monotonic_number(c, ++d.reply_count);
@@ -379,8 +379,8 @@
 
 std::vector<rate_grant> on_rate_request(control_state& c, const cluster_state& s, const rate_request& r,
                                         time_point now) {
-    const rate_rules rules{.bounds = c.config.rates, .knows_all = all_holders_acknowledged(c, s)};
-    return answer_rates(c.rates, s.current_table, rules, r, now);
+    const rate_rules rules{.bounds = c.config.rates, .prior_grants_expired = all_holders_acknowledged(c, s)};
+    return answer_rate_request(c.rates, s.current_table, rules, r, now);
 }
 
 void on_applied(control_state& c, const cluster_state& s, time_point now, control_actions& actions) {
--- a/src/core/pool.hpp
+++ b/src/core/pool.hpp
@@ -39,10 +39,10 @@
 using connection_number = std::uint64_t; // unique in one daemon's life
 
 // Requests that wait alike: what one of them learns holds for the others.
-struct waiter_kind {
+struct request_profile {
     request_class klass = request_class::normal;
     duration objective{0};
-    auto operator<=>(const waiter_kind&) const = default;
+    auto operator<=>(const request_profile&) const = default;
 };
 
 // A connection's statement was paid for when its request was sent.
@@ -53,18 +53,18 @@
 };
 
 // Of the time for a transaction, its first statement may take one part: others follow, and a commit.
-constexpr int transaction_parts = 3;
+constexpr int transaction_time_divisor = 3;
 
 // How the places at the server were used, where they are counted (running_limit::permits).
-struct place_use {
+struct slot_usage {
     duration waited{0};             // by all requests together
     duration idle_while_waiting{0}; // by all places together, while a request waited
-    duration counted{0};            // by all places together, in use or not
-    time_point as_of{};             // until then; what follows stood then
+    duration slot_time{0};            // by all places together, in use or not
+    time_point updated_at{};             // until then; what follows stood then
     unsigned waiting = 0;
     unsigned free = 0;
     unsigned permits = 0;
-    auto operator<=>(const place_use&) const = default;
+    auto operator<=>(const slot_usage&) const = default;
 };
 
 struct pool_state {
@@ -76,17 +76,17 @@
     std::set<connection_number> opening;
     std::set<connection_number> busy;
     std::set<connection_number> busy_background;
-    std::set<connection_number> resting; // of the busy ones: in a transaction, with no statement running
+    std::set<connection_number> idle_in_transaction; // of the busy ones: in a transaction, with no statement running
     running_limit limit;
-    place_use use;
+    slot_usage usage;
     request_queue queue;
     std::map<connection_number, charged_cost> charged;    // of the busy ones; the cost until the first answer
-    std::map<waiter_kind, time_point> starved_until;      // kinds of which one waited in vain a moment ago
+    std::map<request_profile, time_point> overloaded_until;      // kinds of which one waited in vain a moment ago
     duration service_time = std::chrono::milliseconds{2}; // smoothed time a request keeps one
     time_point open_retry_at{};                           // no attempt to open before
-    unsigned turned_away = 0;                    // attempts in a row for which the server had no room
-    std::map<workspace_id, time_point> asked_at; // of those that asked lately, the last time
-    unsigned peak_demand = 0;                    // of the last demand_memory, or above
+    unsigned consecutive_rejections = 0;                    // attempts in a row for which the server had no room
+    std::map<workspace_id, time_point> last_request_at; // of those that asked lately, the last time
+    unsigned peak_demand = 0;                    // of the last demand_window, or above
     time_point peak_at{};                        // when it was reached last
 };
 
@@ -99,10 +99,10 @@
     connection_number connection = 0;
     auto operator<=>(const close_connection&) const = default;
 };
-struct use_connection {
+struct assign_connection {
     request_number request = 0;
     connection_number connection = 0;
-    auto operator<=>(const use_connection&) const = default;
+    auto operator<=>(const assign_connection&) const = default;
 };
 struct refuse_request {
     request_number request = 0;
@@ -110,7 +110,7 @@
     duration retry_after{0};
     auto operator<=>(const refuse_request&) const = default;
 };
-using pool_action = std::variant<open_connection, close_connection, use_connection, refuse_request>;
+using pool_action = std::variant<open_connection, close_connection, assign_connection, refuse_request>;
 using pool_actions = std::vector<pool_action>;
 
 //-----------------------------------------------------------------------------
@@ -133,34 +133,34 @@
 
 // The server answers, but has no room for another connection: it may still count those that died with an
 // earlier life of this daemon. From then on one attempt at a time is made, with growing pauses.
-void connection_turned_away(pool_state& p, connection_number c, time_point now,
+void connection_limit_reached(pool_state& p, connection_number c, time_point now,
                             connection_number& next_connection, pool_actions& actions);
 
 // The server had no room at the last attempt, and no connection of our own is open.
-bool is_turned_away(const pool_state& p);
+bool is_server_full(const pool_state& p);
 
 // Makes an attempt to open one, if it is time for that, whether or not a request waits for it.
-void look_for_room(pool_state& p, time_point now, connection_number& next_connection, pool_actions& actions);
+void try_open(pool_state& p, time_point now, connection_number& next_connection, pool_actions& actions);
 
 // The statement that ran on a busy connection was answered; `crowded`: refused, since the server is. One that
 // stays with its transaction rests until the transaction's next statement.
 struct statement_end {
     duration took{0};
     request_class klass = request_class::normal;
-    bool crowded = false;
-    bool stays = false;
+    bool overloaded = false;
+    bool in_transaction = false;
 };
 void statement_ended(pool_state& p, connection_number c, const statement_end& end, time_point now,
                      connection_number& next_connection, pool_actions& actions);
-void statement_begun(pool_state& p, connection_number c); // on a connection that rested
+void statement_started(pool_state& p, connection_number c); // on a connection that rested
 
 // A request is done with its connection. One that is not reusable is closed.
-void release_connection(pool_state& p, connection_number c, bool reusable, duration used_for, time_point now,
+void release_connection(pool_state& p, connection_number c, bool reusable, duration hold_time, time_point now,
                         connection_number& next_connection, pool_actions& actions);
 
 // Statements and openings at once, by the server's slots (0: not bounded), and how many of them this daemon's
 // other pools of the server use. A transaction that is under way goes on whatever the number.
-void set_permits(pool_state& p, unsigned permits, unsigned elsewhere, time_point now,
+void set_permits(pool_state& p, unsigned permits, unsigned used_by_other_pools, time_point now,
                  connection_number& next_connection, pool_actions& actions);
 
 void set_share(pool_state& p, unsigned share, time_point now, connection_number& next_connection,
--- a/src/core/rate_limits.cpp
+++ b/src/core/rate_limits.cpp
@@ -17,14 +17,14 @@
 }
 
 // Half for daemons to hold, half for the change of a leader.
-constexpr double held_part = 0.5;
+constexpr double held_slack_fraction = 0.5;
 // Of the bucket stays for operations that wait: what is held ahead of need comes from the rest.
-constexpr double kept_for_waiting = 0.5;
-constexpr duration longest_retry = std::chrono::seconds{1};
+constexpr double waiting_reserve_fraction = 0.5;
+constexpr duration max_retry_after = std::chrono::seconds{1};
 // A claim is renewed so long before its end that one lost answer does no harm.
-constexpr duration renew_before_end = holding_time * 6 / 10;
+constexpr duration renewal_margin = grant_lifetime * 6 / 10;
 constexpr double smoothing = 0.5;                                    // of the demand, from claim to claim
-constexpr duration demand_interval = std::chrono::milliseconds{200}; // measured over at least
+constexpr duration min_demand_interval = std::chrono::milliseconds{200}; // measured over at least
 
 // A bucket that holds no whole operation would never give one.
 unsigned burst_of(const workspace_entry& w) {
@@ -37,57 +37,57 @@
 }
 
 // The most that may be in the bucket and in hands, as far as this leader knows.
-double most_out(const workspace_entry& w, const rate_bounds& b, bool knows_all) {
-    const double held = slack(w, b) * held_part;
-    return knows_all ? burst_of(w) + held : slack(w, b) - held;
+double max_outstanding(const workspace_entry& w, const rate_bounds& b, bool prior_grants_expired) {
+    const double held = slack(w, b) * held_slack_fraction;
+    return prior_grants_expired ? burst_of(w) + held : slack(w, b) - held;
 }
 
-double count_given(rate_account& a, time_point now) {
-    std::erase_if(a.given, [now](const auto& g) { return g.second.until <= now; });
+double count_granted(rate_account& a, time_point now) {
+    std::erase_if(a.granted, [now](const auto& g) { return g.second.until <= now; });
     double sum = 0;
-    for (const auto& [id, given] : a.given) {
-        sum += given.operations;
+    for (const auto& [id, granted] : a.granted) {
+        sum += granted.operations;
     }
     return sum;
 }
 
-void fill(rate_account& a, const workspace_entry& w, double most, time_point now) {
-    const double room = std::max(0.0, most - count_given(a, now));
-    a.level = std::min(a.level + w.rate * seconds_in(now - a.filled_at), room);
-    a.filled_at = now;
+void refill(rate_account& a, const workspace_entry& w, double capacity, time_point now) {
+    const double room = std::max(0.0, capacity - count_granted(a, now));
+    a.tokens = std::min(a.tokens + w.rate * seconds_in(now - a.refilled_at), room);
+    a.refilled_at = now;
 }
 
 // Whole operations that can be taken from `level`.
-unsigned whole(double level) {
-    return level < 1 ? 0 : static_cast<unsigned>(level);
+unsigned whole_tokens(double tokens) {
+    return tokens < 1 ? 0 : static_cast<unsigned>(tokens);
 }
 
-rate_grant answer_claim(rate_account& a, const workspace_entry& w, double most, const instance_id& daemon,
+rate_grant answer_claim(rate_account& a, const workspace_entry& w, double capacity, const instance_id& daemon,
                         const rate_claim& claim, time_point now) {
-    given_operations& given = a.given[daemon];
-    given = {.operations = claim.held + claim.running, .until = now + grantor_length(holding_time)};
-    fill(a, w, most, now);
-    a.level = std::min(a.level + claim.returned, most);
+    granted_operations& granted = a.granted[daemon];
+    granted = {.operations = claim.held + claim.running, .expires_at = now + grantor_length(grant_lifetime)};
+    refill(a, w, capacity, now);
+    a.tokens = std::min(a.tokens + claim.returned, capacity);
     rate_grant grant{.workspace = claim.workspace};
-    grant.operations = std::min(claim.needed, whole(a.level));
-    a.level -= grant.operations;
+    grant.operations = std::min(claim.needed, whole_tokens(a.tokens));
+    a.tokens -= grant.operations;
     if (grant.operations < claim.needed) {
-        const double missing = std::max(0.0, 1 - a.level) / w.rate;
+        const double missing = std::max(0.0, 1 - a.tokens) / w.rate;
         grant.retry_after = std::min(
-            longest_retry, std::chrono::duration_cast<duration>(std::chrono::duration<double>(missing)));
+            max_retry_after, std::chrono::duration_cast<duration>(std::chrono::duration<double>(missing)));
         grant.retry_after = std::max(grant.retry_after, duration{1});
     }
     const unsigned more = claim.wanted > claim.held ? claim.wanted - claim.held : 0;
-    const unsigned ahead = std::min(more, whole(a.level - most * kept_for_waiting));
-    a.level -= ahead;
+    const unsigned ahead = std::min(more, whole_tokens(a.tokens - capacity * waiting_reserve_fraction));
+    a.tokens -= ahead;
     grant.operations += ahead;
-    given.operations += grant.operations;
+    granted.operations += grant.operations;
     return grant;
 }
 
-// What the next half of holding_time will take; nothing where less than every second claim would use it.
-unsigned want_ahead(const rate_holding& h) {
-    return static_cast<unsigned>(std::lround(h.per_second * seconds_in(holding_time) / 2));
+// What the next half of grant_lifetime will take; nothing where less than every second claim would use it.
+unsigned prefetch_target(const rate_holding& h) {
+    return static_cast<unsigned>(std::lround(h.demand_per_second * seconds_in(grant_lifetime) / 2));
 }
 
 } // namespace
@@ -96,18 +96,18 @@
 // [control's side]
 //-----------------------------------------------------------------------------
 
-std::vector<rate_grant> answer_rates(rate_ledger& l, const table& t, const rate_rules& rules,
+std::vector<rate_grant> answer_rate_request(rate_ledger& l, const table& t, const rate_rules& rules,
                                      const rate_request& r, time_point now) {
     std::vector<rate_grant> grants;
-    rate_caller& caller = l.callers[r.instance];
-    const bool overtaken =
-        r.incarnation < caller.incarnation || (r.incarnation == caller.incarnation && r.seq <= caller.seq);
-    if (overtaken) {
+    last_rate_request& last = l.last_requests[r.instance];
+    const bool is_stale =
+        r.incarnation < last.incarnation || (r.incarnation == last.incarnation && r.seq <= last.seq);
+    if (is_stale) {
         return grants;
     }
-    caller = {.incarnation = r.incarnation, .seq = r.seq};
+    last = {.incarnation = r.incarnation, .seq = r.seq};
     std::erase_if(l.accounts, [&t](const auto& a) { return find_workspace(t, a.first) == nullptr; });
-    const bool knows_all = rules.knows_all || now - l.since >= grantor_length(holding_time);
+    const bool prior_grants_expired = rules.prior_grants_expired || now - l.term_started_at >= grantor_length(grant_lifetime);
     for (const rate_claim& claim : r.claims) {
         const workspace_entry* w = find_workspace(t, claim.workspace);
         if (w == nullptr || w->rate == 0) {
@@ -116,10 +116,10 @@
         }
         const auto [account, is_new] = l.accounts.try_emplace(claim.workspace);
         if (is_new) { // as full as it would be, had this leader counted from its first moment
-            account->second.filled_at = l.since;
+            account->second.refilled_at = l.term_started_at;
         }
         grants.push_back(
-            answer_claim(account->second, *w, most_out(*w, rules.bounds, knows_all), r.instance, claim, now));
+            answer_claim(account->second, *w, max_outstanding(*w, rules.bounds, prior_grants_expired), r.instance, claim, now));
     }
     return grants;
 }
@@ -128,7 +128,7 @@
 // [a daemon's side]
 //-----------------------------------------------------------------------------
 
-void follow_limit(rate_holding& h, const workspace_entry& w) {
+void apply_limit(rate_holding& h, const workspace_entry& w) {
     if (w.rate < h.rate || w.burst < h.burst) {
         h.held = 0;
     }
@@ -145,8 +145,8 @@
 }
 
 bool take_operation(rate_holding& h, time_point now) {
-    ++h.asked_since;
-    if (h.held == 0 || now >= h.until) {
+    ++h.demand_since_claim;
+    if (h.held == 0 || now >= h.expires_at) {
         h.held = 0;
         return false;
     }
@@ -157,41 +157,41 @@
 
 void end_operation(rate_holding& h, bool may_have_run, time_point now) {
     h.running -= std::min(h.running, 1U);
-    if (!may_have_run && now < h.until) {
+    if (!may_have_run && now < h.expires_at) {
         ++h.held;
     }
 }
 
-void owe_operation(rate_holding& h) {
+void add_debt(rate_holding& h) {
     if (h.held > 0) {
         --h.held;
     } else {
-        ++h.owed;
+        ++h.debt;
     }
 }
 
 std::optional<rate_claim> make_claim(rate_holding& h, const workspace_id& workspace, unsigned waiting,
                                      time_point now) {
-    if (now >= h.until) {
+    if (now >= h.expires_at) {
         h.held = 0;
     }
-    const bool ends_soon = h.held > 0 && h.until - now <= renew_before_end;
-    const bool runs_low = h.held * 2 < want_ahead(h) && now >= h.refused_until;
-    if (waiting == 0 && !ends_soon && !runs_low && h.owed == 0) {
+    const bool expires_soon = h.held > 0 && h.expires_at - now <= renewal_margin;
+    const bool runs_low = h.held * 2 < prefetch_target(h) && now >= h.refused_until;
+    if (waiting == 0 && !expires_soon && !runs_low && h.debt == 0) {
         return std::nullopt;
     }
     const duration since = now - h.claimed_at;
-    if (since >= demand_interval) {
-        const double seen = h.asked_since / seconds_in(since);
-        h.per_second += (seen - h.per_second) * smoothing;
-        h.asked_since = 0;
+    if (since >= min_demand_interval) {
+        const double seen = h.demand_since_claim / seconds_in(since);
+        h.demand_per_second += (seen - h.demand_per_second) * smoothing;
+        h.demand_since_claim = 0;
         h.claimed_at = now;
     }
-    const unsigned wanted = want_ahead(h);
+    const unsigned wanted = prefetch_target(h);
     rate_claim claim{.workspace = workspace,
                      .held = h.held,
                      .running = h.running,
-                     .needed = waiting + h.owed,
+                     .needed = waiting + h.debt,
                      .wanted = wanted};
     if (waiting == 0 && h.held > 2 * wanted) {
         claim.returned = h.held - wanted;
@@ -201,10 +201,10 @@
     return claim;
 }
 
-void take_grant(rate_holding& h, const rate_grant& g, time_point sent) {
-    h.until = sent + holder_length(holding_time);
-    const unsigned paid = std::min(h.owed, g.operations);
-    h.owed -= paid;
+void apply_grant(rate_holding& h, const rate_grant& g, time_point sent) {
+    h.expires_at = sent + holder_length(grant_lifetime);
+    const unsigned paid = std::min(h.debt, g.operations);
+    h.debt -= paid;
     h.held += g.operations - paid;
     h.refused_until = g.retry_after > duration{0} ? sent + g.retry_after : time_point{};
 }
--- a/src/core/rate_limits.hpp
+++ b/src/core/rate_limits.hpp
@@ -7,7 +7,7 @@
 // to it. The slack is what the operator tolerates (rate_bounds); half of it lets daemons hold operations
 // ahead of need, the other half is for a new leader, which does not know yet what its predecessor gave out.
 //
-// What a daemon holds is good for holding_time after its last word to control, and ends at the first word of
+// What a daemon holds is good for grant_lifetime after its last word to control, and ends at the first word of
 // another leader. One that is cut off, frozen or gone keeps nothing beyond that, and control counts it as
 // given out till then.
 //
@@ -29,7 +29,7 @@
 
 // A second bridges most elections of a leader (0.5 s); in a longer time a daemon that is gone would keep more
 // of its workspaces' operations from the others.
-constexpr duration holding_time = std::chrono::seconds{1};
+constexpr duration grant_lifetime = std::chrono::seconds{1};
 
 // What an operator tolerates beyond rate and burst in one window.
 struct rate_bounds {
@@ -74,37 +74,37 @@
 //-----------------------------------------------------------------------------
 
 // What one daemon may hold at most, as control knows.
-struct given_operations {
+struct granted_operations {
     unsigned operations = 0;
-    time_point until{};
-    auto operator<=>(const given_operations&) const = default;
+    time_point expires_at{};
+    auto operator<=>(const granted_operations&) const = default;
 };
 
 struct rate_account {
-    double level = 0; // operations that can be given now
-    time_point filled_at{};
-    std::map<instance_id, given_operations> given;
+    double tokens = 0; // operations that can be given now
+    time_point refilled_at{};
+    std::map<instance_id, granted_operations> granted;
 };
 
-struct rate_caller {
+struct last_rate_request {
     std::uint64_t incarnation = 0;
     std::uint64_t seq = 0;
 };
 
 struct rate_ledger {
-    time_point since{}; // of this leader's term
+    time_point term_started_at{}; // of this leader's term
     std::map<workspace_id, rate_account> accounts;
-    std::map<instance_id, rate_caller> callers;
+    std::map<instance_id, last_rate_request> last_requests;
 };
 
 struct rate_rules {
     rate_bounds bounds;
-    bool knows_all = true; // no daemon goes by what an earlier leader gave out any more
+    bool prior_grants_expired = true; // no daemon goes by what an earlier leader gave out any more
     auto operator<=>(const rate_rules&) const = default;
 };
 
 // A grant for each claim, in the same order; none for a request that a newer one has overtaken.
-std::vector<rate_grant> answer_rates(rate_ledger& l, const table& t, const rate_rules& rules,
+std::vector<rate_grant> answer_rate_request(rate_ledger& l, const table& t, const rate_rules& rules,
                                      const rate_request& r, time_point now);
 
 //-----------------------------------------------------------------------------
@@ -113,11 +113,11 @@
 
 struct rate_holding {
     unsigned held = 0;
-    time_point until{};         // of what is held
+    time_point expires_at{};         // of what is held
     unsigned running = 0;       // let through, and may yet be given back
-    unsigned owed = 0;          // operations that ran without one: paid first
-    double per_second = 0;      // operations asked for, smoothed
-    unsigned asked_since = 0;   // operations asked for since the last claim
+    unsigned debt = 0;          // operations that ran without one: paid first
+    double demand_per_second = 0;      // operations asked for, smoothed
+    unsigned demand_since_claim = 0;   // operations asked for since the last claim
     time_point claimed_at{};    // the last claim was made
     time_point refused_until{}; // nothing is to be had before
     unsigned rate = 0;          // the limit that it was given under
@@ -125,7 +125,7 @@
 };
 
 // A limit that was lowered: what was given under the old one is dropped.
-void follow_limit(rate_holding& h, const workspace_entry& w);
+void apply_limit(rate_holding& h, const workspace_entry& w);
 
 // Another leader counts from now on: what was given before it is dropped.
 void drop_held(rate_holding& h);
@@ -137,7 +137,7 @@
 void end_operation(rate_holding& h, bool may_have_run, time_point now);
 
 // An operation ran a second time: it is paid for with the next grant.
-void owe_operation(rate_holding& h);
+void add_debt(rate_holding& h);
 
 // What to tell control now, of a workspace for which `waiting` operations wait; nothing where there is no
 // need. The holding lasts on only where control is told of it.
@@ -145,6 +145,6 @@
                                      time_point now);
 
 // Control's answer to a claim that was sent at `sent`.
-void take_grant(rate_holding& h, const rate_grant& g, time_point sent);
+void apply_grant(rate_holding& h, const rate_grant& g, time_point sent);
 
 } // namespace larchpin
--- a/src/core/request_queue.cpp
+++ b/src/core/request_queue.cpp
@@ -16,15 +16,15 @@
 
 constexpr double ns_per_ms = 1e6;
 // A crest of load lasts for seconds: what the last half second was spent on tells of the next.
-constexpr duration load_memory = std::chrono::milliseconds{500};
+constexpr duration load_time_constant = std::chrono::milliseconds{500};
 // Of a server's time; where the classes before leave less than that, they leave nothing.
-constexpr double least_share = 0.01;
+constexpr double min_share = 0.01;
 // Of a workspace that was sent less than this lately nothing is known.
-constexpr double least_recent_ms = 0.1;
+constexpr double min_recent_ms = 0.1;
 // Waits are as often longer than estimated as they are shorter; so much is allowed for it.
-constexpr double expected_excess = 1.33;
+constexpr double wait_safety_factor = 1.33;
 // Each step of priority doubles the weight.
-constexpr unsigned highest_weight = 8;
+constexpr unsigned max_weight = 8;
 
 double to_ms(duration d) {
     return static_cast<double>(d.count()) / ns_per_ms;
@@ -49,18 +49,18 @@
     return {.klass = r.klass, .late = is_late(r, now) ? 1U : 0U};
 }
 
-duration time_to_wait(const queued_request& r) {
-    return (r.given_up == time_point{} ? r.deadline : r.given_up) - r.since;
+duration max_wait(const queued_request& r) {
+    return (r.refuse_at == time_point{} ? r.deadline : r.refuse_at) - r.queued_at;
 }
 
 // From then on it may use the time that is kept for those that have waited long.
-time_point kept_from(const queued_request& r) {
-    return r.since + time_to_wait(r) / kept_after;
+time_point aged_from(const queued_request& r) {
+    return r.queued_at + max_wait(r) / aging_wait_divisor;
 }
 
-double used_part(const queued_request& r, time_point now) {
-    return static_cast<double>((now - r.since).count()) /
-           static_cast<double>(std::max<std::int64_t>(1, time_to_wait(r).count()));
+double waited_fraction(const queued_request& r, time_point now) {
+    return static_cast<double>((now - r.queued_at).count()) /
+           static_cast<double>(std::max<std::int64_t>(1, max_wait(r).count()));
 }
 
 rank first_rank(const request_queue& q, time_point now) {
@@ -71,25 +71,25 @@
     return first;
 }
 
-bool waits_long(const queued_request& r, const rank& first, time_point now) {
-    return now >= kept_from(r) && rank_of(r, now) > first;
+bool is_aged(const queued_request& r, const rank& first, time_point now) {
+    return now >= aged_from(r) && rank_of(r, now) > first;
 }
 
 // Whose turn it is of those that have waited long: the classes in turn, so that none of them takes all that
 // is kept, and of a class who has used most of its time.
-std::optional<std::size_t> next_kept(const request_queue& q, time_point now) {
+std::optional<std::size_t> next_aged(const request_queue& q, time_point now) {
     const rank first = first_rank(q, now);
     std::array<std::optional<std::size_t>, request_class_count> longest;
     for (std::size_t i = 0; i < q.waiting.size(); ++i) {
         const queued_request& r = q.waiting[i];
         auto& of_class = longest.at(static_cast<std::size_t>(r.klass));
-        const bool longer = !of_class || used_part(r, now) > used_part(q.waiting[*of_class], now);
-        if (longer && waits_long(r, first, now)) {
+        const bool longer = !of_class || waited_fraction(r, now) > waited_fraction(q.waiting[*of_class], now);
+        if (longer && is_aged(r, first, now)) {
             of_class = i;
         }
     }
     for (std::size_t i = 1; i <= request_class_count; ++i) {
-        const auto& of_class = longest.at((static_cast<std::size_t>(q.kept_class) + i) % request_class_count);
+        const auto& of_class = longest.at((static_cast<std::size_t>(q.last_aged_class) + i) % request_class_count);
         if (of_class) {
             return of_class;
         }
@@ -98,36 +98,36 @@
 }
 
 // Where the workspace stands, in ms of the server's time by its weight.
-double used_by(const request_queue& q, const queued_request& r) {
+double virtual_start(const request_queue& q, const queued_request& r) {
     if (r.any_workspace) {
-        return q.begins_at;
+        return q.virtual_time;
     }
-    const auto found = q.used.find(r.workspace);
-    return found == q.used.end() ? q.begins_at : std::max(q.begins_at, found->second);
+    const auto found = q.virtual_finish.find(r.workspace);
+    return found == q.virtual_finish.end() ? q.virtual_time : std::max(q.virtual_time, found->second);
 }
 
 double weighted_cost(const queued_request& r) {
     return to_ms(r.cost) / r.weight;
 }
 
-void fade_load(request_queue& q, time_point now) {
-    const double left = std::exp(-to_ms(now - q.load_at) / to_ms(load_memory));
-    for (double& ms : q.load) {
-        ms *= left;
+void decay_load(request_queue& q, time_point now) {
+    const double decay = std::exp(-to_ms(now - q.load_updated_at) / to_ms(load_time_constant));
+    for (double& ms : q.class_load) {
+        ms *= decay;
     }
-    for (auto& [workspace, work] : q.recent) {
-        work.ms *= left;
+    for (auto& [workspace, work] : q.workspace_load) {
+        work.ms *= decay;
     }
-    std::erase_if(q.recent, [](const auto& r) { return r.second.ms < least_recent_ms; });
-    q.load_at = now;
+    std::erase_if(q.workspace_load, [](const auto& r) { return r.second.ms < min_recent_ms; });
+    q.load_updated_at = now;
 }
 
 // The part of the time of all places that went to the first classes lately.
-double part_given(const request_queue& q, std::size_t classes, unsigned places, time_point now) {
-    const double left = std::exp(-to_ms(now - q.load_at) / to_ms(load_memory));
-    return std::accumulate(q.load.begin(), std::next(q.load.begin(), static_cast<std::ptrdiff_t>(classes)),
+double recent_utilization(const request_queue& q, std::size_t classes, unsigned slots, time_point now) {
+    const double decay = std::exp(-to_ms(now - q.load_updated_at) / to_ms(load_time_constant));
+    return std::accumulate(q.class_load.begin(), std::next(q.class_load.begin(), static_cast<std::ptrdiff_t>(classes)),
                            0.0) *
-           left / (to_ms(load_memory) * places);
+           decay / (to_ms(load_time_constant) * slots);
 }
 
 } // namespace
@@ -137,7 +137,7 @@
 //-----------------------------------------------------------------------------
 
 unsigned workspace_weight(unsigned priority) {
-    return std::max(1U, highest_weight >> std::min(priority, highest_weight));
+    return std::max(1U, max_weight >> std::min(priority, max_weight));
 }
 
 unsigned weight_of(const table& t, const workspace_id& workspace) {
@@ -159,41 +159,41 @@
     if (sent == q.waiting.end()) {
         return;
     }
-    const auto kept_for = next_kept(q, now);
-    if (!kept_for) {
-        q.kept = duration{0};
-    } else if (*kept_for == static_cast<std::size_t>(sent - q.waiting.begin())) {
-        q.kept -= std::min(q.kept, sent->cost);
-        q.kept_class = sent->klass;
+    const auto aged = next_aged(q, now);
+    if (!aged) {
+        q.aged_credit = duration{0};
+    } else if (*aged == static_cast<std::size_t>(sent - q.waiting.begin())) {
+        q.aged_credit -= std::min(q.aged_credit, sent->cost);
+        q.last_aged_class = sent->klass;
     } else {
-        q.kept = std::min(q.kept + sent->cost / (kept_parts - 1), q.waiting[*kept_for].cost);
+        q.aged_credit = std::min(q.aged_credit + sent->cost / (aged_share_divisor - 1), q.waiting[*aged].cost);
     }
-    fade_load(q, now);
-    q.load.at(static_cast<std::size_t>(sent->klass)) += to_ms(sent->cost);
+    decay_load(q, now);
+    q.class_load.at(static_cast<std::size_t>(sent->klass)) += to_ms(sent->cost);
     if (!sent->any_workspace) {
-        q.recent[sent->workspace].ms += to_ms(sent->cost);
-        q.recent[sent->workspace].weight = sent->weight;
+        q.workspace_load[sent->workspace].ms += to_ms(sent->cost);
+        q.workspace_load[sent->workspace].weight = sent->weight;
     }
-    double least = used_by(q, *sent);
+    double min_start = virtual_start(q, *sent);
     for (const queued_request& r : q.waiting) {
-        least = std::min(least, used_by(q, r));
+        min_start = std::min(min_start, virtual_start(q, r));
     }
     if (!sent->any_workspace) {
-        q.used[sent->workspace] = used_by(q, *sent) + weighted_cost(*sent);
+        q.virtual_finish[sent->workspace] = virtual_start(q, *sent) + weighted_cost(*sent);
     }
-    q.begins_at = std::max(q.begins_at, least);
-    std::erase_if(q.used, [&q](const auto& u) { return u.second <= q.begins_at; });
+    q.virtual_time = std::max(q.virtual_time, min_start);
+    std::erase_if(q.virtual_finish, [&q](const auto& u) { return u.second <= q.virtual_time; });
     q.waiting.erase(sent);
 }
 
-void note_used(request_queue& q, const workspace_id& workspace, const used_time& u) {
-    const auto found = q.used.find(workspace);
-    const double before = found == q.used.end() ? q.begins_at : found->second;
+void note_actual_cost(request_queue& q, const workspace_id& workspace, const actual_cost& u) {
+    const auto found = q.virtual_finish.find(workspace);
+    const double before = found == q.virtual_finish.end() ? q.virtual_time : found->second;
     const double after = before + (to_ms(u.took) - to_ms(u.charged)) / u.weight;
-    if (after > q.begins_at) {
-        q.used[workspace] = after;
-    } else if (found != q.used.end()) {
-        q.used.erase(found);
+    if (after > q.virtual_time) {
+        q.virtual_finish[workspace] = after;
+    } else if (found != q.virtual_finish.end()) {
+        q.virtual_finish.erase(found);
     }
 }
 
@@ -202,39 +202,39 @@
 //-----------------------------------------------------------------------------
 
 bool is_late(const queued_request& r, time_point now) {
-    return r.in_time != time_point{} && now > r.in_time;
+    return r.on_time_until != time_point{} && now > r.on_time_until;
 }
 
 std::vector<std::size_t> order_requests(const request_queue& q, time_point now) {
     std::vector<std::size_t> order(q.waiting.size());
     std::iota(order.begin(), order.end(), std::size_t{0});
-    const auto own_order = [&q, now](std::size_t i) {
+    const auto workspace_order = [&q, now](std::size_t i) {
         const queued_request& r = q.waiting[i];
         return std::tuple(rank_of(r, now), r.objective, r.deadline, r.request);
     };
     std::sort(order.begin(), order.end(), [&](std::size_t a, std::size_t b) {
         const int by_workspace = q.waiting[a].workspace.value.compare(q.waiting[b].workspace.value);
-        return by_workspace != 0 ? by_workspace < 0 : own_order(a) < own_order(b);
+        return by_workspace != 0 ? by_workspace < 0 : workspace_order(a) < workspace_order(b);
     });
     // Where a workspace will stand when each of its requests is sent.
-    std::vector<double> begins(q.waiting.size());
+    std::vector<double> starts(q.waiting.size());
     for (std::size_t n = 0; n < order.size(); ++n) {
         const queued_request& r = q.waiting[order[n]];
         const bool follows = n > 0 && !r.any_workspace && !q.waiting[order[n - 1]].any_workspace &&
                              q.waiting[order[n - 1]].workspace == r.workspace;
-        begins[order[n]] =
-            follows ? begins[order[n - 1]] + weighted_cost(q.waiting[order[n - 1]]) : used_by(q, r);
+        starts[order[n]] =
+            follows ? starts[order[n - 1]] + weighted_cost(q.waiting[order[n - 1]]) : virtual_start(q, r);
     }
     // Of one workspace, the order is its own: beginnings rise with it, and equal ones leave it to the rest.
     std::sort(order.begin(), order.end(), [&](std::size_t a, std::size_t b) {
         const queued_request& x = q.waiting[a];
         const queued_request& y = q.waiting[b];
-        return std::tuple(rank_of(x, now), begins[a], x.objective, x.deadline, x.request) <
-               std::tuple(rank_of(y, now), begins[b], y.objective, y.deadline, y.request);
+        return std::tuple(rank_of(x, now), starts[a], x.objective, x.deadline, x.request) <
+               std::tuple(rank_of(y, now), starts[b], y.objective, y.deadline, y.request);
     });
-    const auto kept_for = next_kept(q, now);
-    if (kept_for && q.kept >= q.waiting[*kept_for].cost) {
-        const auto at = std::find(order.begin(), order.end(), *kept_for);
+    const auto aged = next_aged(q, now);
+    if (aged && q.aged_credit >= q.waiting[*aged].cost) {
+        const auto at = std::find(order.begin(), order.end(), *aged);
         std::rotate(order.begin(), at, std::next(at));
     }
     return order;
@@ -247,75 +247,75 @@
 namespace {
 
 // What is sent before a request.
-struct work_before {
+struct queued_work {
     std::int64_t count = 0;
     double ms = 0;
 };
 
-void add_work(work_before& w, const queued_request& r, const serving_places& s) {
+void add_work(queued_work& w, const queued_request& r, const server_capacity& s) {
     ++w.count;
-    w.ms += to_ms(s.held > duration{0} ? s.held : r.cost);
+    w.ms += to_ms(s.hold_time > duration{0} ? s.hold_time : r.cost);
 }
 
 // Until this work and what runs is done, but for one place, and with this part of the server's time.
-double time_for(const work_before& w, const queued_request& r, const serving_places& s, double share) {
-    const std::int64_t free = std::max<std::int64_t>(0, static_cast<std::int64_t>(s.places) - s.taken);
-    if (w.count < free) {
+double queueing_delay(const queued_work& w, const queued_request& r, const server_capacity& s, double share) {
+    const std::int64_t free_slots = std::max<std::int64_t>(0, static_cast<std::int64_t>(s.slots) - s.in_use);
+    if (w.count < free_slots) {
         return 0;
     }
-    const double own = to_ms(s.held > duration{0} ? s.held : r.cost);
-    const double one = w.count == 0 ? own : w.ms / static_cast<double>(w.count);
-    const double work = w.ms + one * static_cast<double>(1 - free);
-    return work / (s.places * std::max(share, least_share));
+    const double own_ms = to_ms(s.hold_time > duration{0} ? s.hold_time : r.cost);
+    const double mean_ms = w.count == 0 ? own_ms : w.ms / static_cast<double>(w.count);
+    const double work_ms = w.ms + mean_ms * static_cast<double>(1 - free_slots);
+    return work_ms / (s.slots * std::max(share, min_share));
 }
 
 // Until its workspace has had so much of the server's time: as much of it as lately, or its part of it where
 // that is more.
-double wait_in_workspace(const request_queue& q, const queued_request& r, const serving_places& s,
+double wait_in_workspace(const request_queue& q, const queued_request& r, const server_capacity& s,
                          double own_ms) {
     double weights = r.weight;
     double recent_ms = 0;
-    for (const auto& [workspace, work] : q.recent) {
+    for (const auto& [workspace, work] : q.workspace_load) {
         weights += workspace == r.workspace ? 0 : work.weight;
         recent_ms = workspace == r.workspace ? work.ms : recent_ms;
     }
-    const double lately = recent_ms / to_ms(load_memory);
-    return own_ms / std::max(lately, s.places * r.weight / weights);
+    const double recent_share = recent_ms / to_ms(load_time_constant);
+    return own_ms / std::max(recent_share, s.slots * r.weight / weights);
 }
 
-double wait_when_late(const request_queue& q, const queued_request& r, const serving_places& s,
+double wait_when_late(const request_queue& q, const queued_request& r, const server_capacity& s,
                       time_point now) {
-    work_before first; // of its class and those above
+    queued_work first; // of its class and those above
     for (const queued_request& other : q.waiting) {
         if (other.request != r.request && other.klass <= r.klass) {
             add_work(first, other, s);
         }
     }
     const auto classes = static_cast<std::size_t>(r.klass) + 1;
-    return time_for(first, r, s, 1.0 - part_given(q, classes, s.places, now));
+    return queueing_delay(first, r, s, 1.0 - recent_utilization(q, classes, s.slots, now));
 }
 
 // Until it may use the time that is kept for those that have waited long, and has had its turn of it.
-double wait_for_kept(const request_queue& q, const queued_request& r, const serving_places& s,
+double wait_for_aged_share(const request_queue& q, const queued_request& r, const server_capacity& s,
                      time_point now) {
     const rank first = first_rank(q, now);
-    work_before older; // of its class
+    queued_work older; // of its class
     std::set<request_class> classes{r.klass};
     for (const queued_request& other : q.waiting) {
-        if (other.request != r.request && other.klass == r.klass && kept_from(other) <= kept_from(r)) {
+        if (other.request != r.request && other.klass == r.klass && aged_from(other) <= aged_from(r)) {
             add_work(older, other, s);
         }
         if (rank_of(other, now) > first) {
             classes.insert(other.klass);
         }
     }
-    const double share = 1.0 / (expected_excess * kept_parts * static_cast<double>(classes.size()));
-    return to_ms(std::max(kept_from(r) - now, duration{0})) + time_for(older, r, s, share);
+    const double share = 1.0 / (wait_safety_factor * aged_share_divisor * static_cast<double>(classes.size()));
+    return to_ms(std::max(aged_from(r) - now, duration{0})) + queueing_delay(older, r, s, share);
 }
 
 } // namespace
 
-duration expected_wait(const request_queue& q, request_number request, const serving_places& s,
+duration expected_wait(const request_queue& q, request_number request, const server_capacity& s,
                        time_point now) {
     const std::vector<std::size_t> order = order_requests(q, now);
     const auto at = std::find_if(order.begin(), order.end(),
@@ -324,29 +324,29 @@
         return duration{0};
     }
     const queued_request& r = q.waiting[*at];
-    work_before before;
+    queued_work before;
     double own_ms = 0; // of it, for its own workspace
     for (auto i = order.begin(); i != at; ++i) {
         const queued_request& other = q.waiting[*i];
         add_work(before, other, s);
         own_ms += other.workspace == r.workspace && !other.any_workspace ? to_ms(other.cost) : 0;
     }
-    if (s.held > duration{0}) {
-        return from_ms(time_for(before, r, s, 1.0)); // what the server does meanwhile nobody knows
+    if (s.hold_time > duration{0}) {
+        return from_ms(queueing_delay(before, r, s, 1.0)); // what the server does meanwhile nobody knows
     }
-    const auto above = static_cast<std::size_t>(r.klass);
-    double wait = time_for(before, r, s, 1.0 - part_given(q, above, s.places, now));
+    const auto higher_classes = static_cast<std::size_t>(r.klass);
+    double wait = queueing_delay(before, r, s, 1.0 - recent_utilization(q, higher_classes, s.slots, now));
     if (wait > 0 && !r.workspace.value.empty()) {
         wait = std::max(wait, wait_in_workspace(q, r, s, own_ms));
     }
-    if (r.in_time != time_point{} && now + from_ms(wait * expected_excess) > r.in_time) {
+    if (r.on_time_until != time_point{} && now + from_ms(wait * wait_safety_factor) > r.on_time_until) {
         // It will be late, and then all of its class that is not goes first.
         wait = std::max(wait, wait_when_late(q, r, s, now));
     }
-    if (rank{.klass = r.klass, .late = r.in_time != time_point{} ? 1U : 0U} <= first_rank(q, now)) {
+    if (rank{.klass = r.klass, .late = r.on_time_until != time_point{} ? 1U : 0U} <= first_rank(q, now)) {
         return from_ms(wait); // nobody will go before its rank
     }
-    return from_ms(std::min(wait, wait_for_kept(q, r, s, now)));
+    return from_ms(std::min(wait, wait_for_aged_share(q, r, s, now)));
 }
 
 } // namespace larchpin
--- a/src/core/request_queue.hpp
+++ b/src/core/request_queue.hpp
@@ -7,8 +7,8 @@
 // up (start-time fair queueing).
 //
 // Nobody waits forever: what has used a quarter of its time and is not in the first rank shares one part in
-// `kept_parts` of the server's time with others like it, the classes in turn, and in a class the one first
-// that has used most of its time. So of each class one is sent while the server does `kept_parts` times the
+// `aged_share_divisor` of the server's time with others like it, the classes in turn, and in a class the one first
+// that has used most of its time. So of each class one is sent while the server does `aged_share_divisor` times the
 // work of one of each that waits so, whatever else is asked; and a request is taken in only where that, or
 // what the classes before it leave, reaches it before its deadline.
 //
@@ -39,23 +39,23 @@
     request_number request = 0;
     request_class klass = request_class::normal;
     time_point deadline{};      // waits no longer
-    time_point given_up{};      // is refused at this moment, before its deadline; 0: at the deadline
+    time_point refuse_at{};      // is refused at this moment, before its deadline; 0: at the deadline
     time_point answer_by{};     // its answer is late after that; 0: never
     duration objective{0};      // for the whole operation; 0: none
     workspace_id workspace{};   // whose connection it must be; empty: the table names none
     bool any_workspace = false; // asks nothing of the data: any open connection will do
     unsigned weight = 1;        // of its workspace (see weight_of)
-    time_point since{};         // in the queue; this and the next two are set by the pool
+    time_point queued_at{};         // in the queue; this and the next two are set by the pool
     duration cost{0};           // expected time at the server
-    time_point in_time{};       // sent later, it would be answered after `answer_by`; 0: never so
+    time_point on_time_until{};       // sent later, it would be answered after `answer_by`; 0: never so
     auto operator<=>(const queued_request&) const = default;
 };
 
-// Of the server's time, one part in so many is kept for what has waited long: for one part in `kept_after` of
+// Of the server's time, one part in so many is kept for what has waited long: for one part in `aging_wait_divisor` of
 // its own time. More, or earlier, would cost the classes that go first; less, and patient work would be
 // refused in every crest.
-constexpr int kept_parts = 8;
-constexpr int kept_after = 4;
+constexpr int aged_share_divisor = 8;
+constexpr int aging_wait_divisor = 4;
 
 // What was sent for a workspace lately.
 struct recent_work {
@@ -66,13 +66,13 @@
 
 struct request_queue {
     std::vector<queued_request> waiting; // in no particular order
-    std::map<workspace_id, double> used; // ms of the server's time by weight, of those in or near the queue
-    double begins_at = 0;                // of `used`: where a workspace begins that comes now
-    duration kept{0};                    // saved up for those that have waited long
-    request_class kept_class = request_class::urgent; // that had its turn of them last
-    std::array<double, request_class_count> load{};   // ms of work of each class, sent lately, fading
-    std::map<workspace_id, recent_work> recent;       // the same by workspace
-    time_point load_at{};                             // when these were as they stand
+    std::map<workspace_id, double> virtual_finish; // ms of the server's time by weight, of those in or near the queue
+    double virtual_time = 0;                // of `used`: where a workspace begins that comes now
+    duration aged_credit{0};                    // saved up for those that have waited long
+    request_class last_aged_class = request_class::urgent; // that had its turn of them last
+    std::array<double, request_class_count> class_load{};   // ms of work of each class, sent lately, fading
+    std::map<workspace_id, recent_work> workspace_load;       // the same by workspace
+    time_point load_updated_at{};                             // when these were as they stand
 };
 
 //-----------------------------------------------------------------------------
@@ -90,12 +90,12 @@
 void note_sent(request_queue& q, request_number request, time_point now);
 
 // A statement of the workspace took so long at the server; `charged` of it was charged when it was sent.
-struct used_time {
+struct actual_cost {
     duration took{0};
     duration charged{0};
     unsigned weight = 1;
 };
-void note_used(request_queue& q, const workspace_id& workspace, const used_time& u);
+void note_actual_cost(request_queue& q, const workspace_id& workspace, const actual_cost& u);
 
 //-----------------------------------------------------------------------------
 // [the order]
@@ -113,15 +113,15 @@
 
 // What serves the queue: so many statements at once, each for its expected cost, or connections, each for the
 // usual time `held` (a whole transaction); and how many of them are taken.
-struct serving_places {
-    unsigned places = 1; // at least one
-    unsigned taken = 0;
-    duration held{0}; // 0: a statement's cost
+struct server_capacity {
+    unsigned slots = 1; // at least one
+    unsigned in_use = 0;
+    duration hold_time{0}; // 0: a statement's cost
 };
 
 // How long this waiting request will probably wait until it is sent, with what waits and runs now, and with
 // what the classes before it were given lately. Long, but finite, where they leave nothing.
-duration expected_wait(const request_queue& q, request_number request, const serving_places& s,
+duration expected_wait(const request_queue& q, request_number request, const server_capacity& s,
                        time_point now);
 
 } // namespace larchpin
--- a/src/core/running_limit.hpp
+++ b/src/core/running_limit.hpp
@@ -19,30 +19,30 @@
 namespace larchpin {
 
 // Classes of requests have statements of different length, so each is compared with itself.
-struct answer_times {
-    duration usual{0}; // smoothed; 0: none yet
-    duration least{0}; // the least that `usual` has been, rising slowly
-    auto operator<=>(const answer_times&) const = default;
+struct response_time_stats {
+    duration smoothed{0}; // smoothed; 0: none yet
+    duration baseline{0}; // the least that `usual` has been, rising slowly
+    auto operator<=>(const response_time_stats&) const = default;
 };
 
-constexpr std::size_t answer_time_classes = 4;
+constexpr std::size_t response_time_classes = 4;
 
 struct running_limit {
-    unsigned most = 0;      // statements at once, by the server's refusals; 0: no limit
+    unsigned aimd_limit = 0;      // statements at once, by the server's refusals; 0: no limit
     unsigned permits = 0;   // statements and openings at once, by the server's slots; 0: no limit
-    unsigned elsewhere = 0; // permits in use by this daemon's other pools of the server
-    std::array<answer_times, answer_time_classes> times;
-    duration usual_answer{0}; // smoothed over all classes; 0: none yet
-    double stretch = 1.0;     // smoothed: an answer's time by the least usual one of its class
-    time_point cut_at{};
-    time_point raised_at{};
+    unsigned used_by_other_pools = 0; // permits in use by this daemon's other pools of the server
+    std::array<response_time_stats, response_time_classes> response_times;
+    duration smoothed_response_time{0}; // smoothed over all classes; 0: none yet
+    double slowdown = 1.0;     // smoothed: an answer's time by the least usual one of its class
+    time_point decreased_at{};
+    time_point increased_at{};
     auto operator<=>(const running_limit&) const = default;
 };
 
 // The server refused a statement since it is crowded, while `running` of ours were there.
-void note_crowded(running_limit& l, unsigned running, time_point now);
+void note_overload(running_limit& l, unsigned running, time_point now);
 
-// A statement of this class (0 .. answer_time_classes - 1) was answered after this time. `share` is what the
+// A statement of this class (0 .. response_time_classes - 1) was answered after this time. `share` is what the
 // daemon may have open at the server.
 struct answered_statement {
     duration took{0};
@@ -54,7 +54,7 @@
 bool may_send(const running_limit& l, unsigned running);
 
 // What a pool has at the server: statements that run, and connections that open.
-struct places_taken {
+struct occupied_slots {
     unsigned running = 0;
     unsigned opening = 0;
 };
@@ -62,9 +62,9 @@
 constexpr unsigned no_limit = std::numeric_limits<unsigned>::max();
 
 // Statements or openings that may begin now; no_limit where nothing bounds them.
-unsigned free_places(const running_limit& l, const places_taken& use);
+unsigned free_slots(const running_limit& l, const occupied_slots& use);
 
 // Statements that may run at once, at least one; 0: nothing bounds them.
-unsigned places(const running_limit& l);
+unsigned concurrency_limit(const running_limit& l);
 
 } // namespace larchpin
--- a/src/core/share_ledger.cpp
+++ b/src/core/share_ledger.cpp
@@ -12,7 +12,7 @@
                                           : account.holders.emplace_back(share_holder{.daemon = daemon});
 }
 
-void clear(share_account& account, holder_number daemon) {
+void clear_holder(share_account& account, holder_number daemon) {
     for (share_holder& h : account.holders) {
         if (h.daemon == daemon) {
             h.held = 0;
@@ -25,11 +25,11 @@
 
 } // namespace
 
-holder_number number_holder(share_ledger& l, const instance_id& daemon) {
-    const auto next = static_cast<holder_number>(l.numbers.size());
-    const auto [at, is_new] = l.numbers.emplace(daemon, next);
+holder_number assign_holder_number(share_ledger& l, const instance_id& daemon) {
+    const auto next = static_cast<holder_number>(l.holder_numbers.size());
+    const auto [at, is_new] = l.holder_numbers.emplace(daemon, next);
     if (is_new) {
-        l.counts_until.emplace_back();
+        l.held_until.emplace_back();
     }
     return at->second;
 }
@@ -41,29 +41,29 @@
     h.wanted = wanted;
 }
 
-void forget_holder(share_ledger& l, const share_key& key, holder_number daemon) {
+void remove_holder(share_ledger& l, const share_key& key, holder_number daemon) {
     const auto account = l.accounts.find(key);
     if (account != l.accounts.end()) {
-        clear(account->second, daemon);
+        clear_holder(account->second, daemon);
     }
 }
 
-void forget_holder(share_ledger& l, holder_number daemon) {
+void remove_holder(share_ledger& l, holder_number daemon) {
     for (auto& [key, account] : l.accounts) {
-        clear(account, daemon);
+        clear_holder(account, daemon);
     }
 }
 
 void set_reserves(share_ledger& l, const share_key& key, const std::vector<instance_id>& reserves,
-                  revision_number of_revision) {
+                  revision_number revision) {
     share_account& account = l.accounts[key];
     for (share_holder& h : account.holders) {
         h.reserve = false;
     }
     for (const instance_id& id : reserves) {
-        find_or_add(account, number_holder(l, id)).reserve = true;
+        find_or_add(account, assign_holder_number(l, id)).reserve = true;
     }
-    account.reserves_revision = of_revision;
+    account.reserves_revision = revision;
 }
 
 share_decision decide_share(const share_ledger& l, const share_key& key, holder_number daemon,
@@ -80,12 +80,12 @@
                 own = std::max(wanted, reserve);
                 continue;
             }
-            const bool counts = l.counts_until[h.daemon] > now;
+            const bool counts = l.held_until[h.daemon] > now;
             decision.held_by_others += counts ? std::max(reserve, h.held) : reserve;
             others.push_back(counts ? std::max(reserve, h.wanted) : reserve);
         }
     }
-    decision.target = fair_part(limit, own, others);
+    decision.target = fair_share(limit, own, others);
     return decision;
 }
 
--- a/src/core/share_ledger.hpp
+++ b/src/core/share_ledger.hpp
@@ -34,8 +34,8 @@
 };
 
 struct share_ledger {
-    std::map<instance_id, holder_number> numbers;
-    std::vector<time_point> counts_until; // by number: what a daemon holds counts till then
+    std::map<instance_id, holder_number> holder_numbers;
+    std::vector<time_point> held_until; // by number: what a daemon holds counts till then
     std::map<share_key, share_account> accounts;
 };
 
@@ -50,17 +50,17 @@
 // [functions]
 //-----------------------------------------------------------------------------
 
-holder_number number_holder(share_ledger& l, const instance_id& daemon);
+holder_number assign_holder_number(share_ledger& l, const instance_id& daemon);
 
 void note_holder(share_ledger& l, const share_key& key, holder_number daemon, unsigned held, unsigned wanted);
 
 // It holds nothing of the share, and wants nothing.
-void forget_holder(share_ledger& l, const share_key& key, holder_number daemon);
-void forget_holder(share_ledger& l, holder_number daemon); // of any share
+void remove_holder(share_ledger& l, const share_key& key, holder_number daemon);
+void remove_holder(share_ledger& l, holder_number daemon); // of any share
 
 // The daemons that keep one connection of this share for good.
 void set_reserves(share_ledger& l, const share_key& key, const std::vector<instance_id>& reserves,
-                  revision_number of_revision);
+                  revision_number revision);
 
 // What `daemon`, which wants `wanted`, may have of `limit`. Daemons whose time has run out count with their
 // reserve only.
--- a/src/core/shares.cpp
+++ b/src/core/shares.cpp
@@ -22,7 +22,7 @@
     return shares;
 }
 
-unsigned fair_part(unsigned limit, unsigned own, const std::vector<unsigned>& others) {
+unsigned fair_share(unsigned limit, unsigned own, const std::vector<unsigned>& others) {
     std::vector<unsigned> smaller(own, 0); // by wish: how many others have it
     for (const unsigned other : others) {
         if (other < own) {
@@ -40,8 +40,8 @@
     return std::min({own, (left + sharers - 1) / sharers, left});
 }
 
-unsigned connections_for_requests(unsigned limit, unsigned kept_for_probes) {
-    return limit - std::min(kept_for_probes, limit - 1);
+unsigned connections_for_requests(unsigned limit, unsigned reserved_for_probes) {
+    return limit - std::min(reserved_for_probes, limit - 1);
 }
 
 unsigned next_share(unsigned limit, unsigned target, unsigned held_by_others) {
--- a/src/core/shares.hpp
+++ b/src/core/shares.hpp
@@ -38,10 +38,10 @@
 std::vector<unsigned> divide_fairly(unsigned limit, const std::vector<unsigned>& wanted);
 
 // What divide_fairly() gives to `own` of a limit that it shares with `others`, without dividing it all.
-unsigned fair_part(unsigned limit, unsigned own, const std::vector<unsigned>& others);
+unsigned fair_share(unsigned limit, unsigned own, const std::vector<unsigned>& others);
 
 // What of a service's limit on connections to one server is for requests; at least one.
-unsigned connections_for_requests(unsigned limit, unsigned kept_for_probes);
+unsigned connections_for_requests(unsigned limit, unsigned reserved_for_probes);
 
 // The most that one daemon may get now: its fair target, cut to what the others do not hold.
 unsigned next_share(unsigned limit, unsigned target, unsigned held_by_others);
--- a/src/daemon/loans.cpp
+++ b/src/daemon/loans.cpp
@@ -663,8 +663,8 @@
                 pools_.note_statement_ended(still->second.key, still->second.number,
                                             {.took = now() - still->second.used_at,
                                              .klass = klass,
-                                             .crowded = outcome.refusal == server_refusal::busy,
-                                             .stays = outcome.transaction != 'I'});
+                                             .overloaded = outcome.refusal == server_refusal::busy,
+                                             .in_transaction = outcome.transaction != 'I'});
             }
             still->second.used_at = now();
             if (!outcome.answered || outcome.transaction == 'I') {
--- a/src/daemon/pools.cpp
+++ b/src/daemon/pools.cpp
@@ -27,10 +27,10 @@
                {"share", static_cast<std::uint64_t>(p.share)},
                {"open", static_cast<std::uint64_t>(open_count(p))},
                {"busy", static_cast<std::uint64_t>(p.busy.size())},
-               {"resting", static_cast<std::uint64_t>(p.resting.size())},
+               {"resting", static_cast<std::uint64_t>(p.idle_in_transaction.size())},
                {"waiting", static_cast<std::uint64_t>(waiting_count(p))},
-               {"running_at_most", static_cast<std::uint64_t>(p.limit.most)},
-               {"usual_answer_us", to_us(p.limit.usual_answer)},
+               {"running_at_most", static_cast<std::uint64_t>(p.limit.aimd_limit)},
+               {"usual_answer_us", to_us(p.limit.smoothed_response_time)},
                {"usual_hold_us", to_us(p.service_time)}});
 }
 
@@ -96,14 +96,14 @@
         return;
     }
     running_limit& limit = found->second.state.limit;
-    const unsigned before = limit.most;
+    const unsigned before = limit.aimd_limit;
     pool_actions actions;
     count_elsewhere(key, found->second, true);
     statement_ended(found->second.state, number, end, now(), next_connection_, actions);
-    if (limit.most != before && (before == 0 || limit.most == 0)) {
+    if (limit.aimd_limit != before && (before == 0 || limit.aimd_limit == 0)) {
         log_event(
-            severity::info, limit.most > 0 ? "server_crowded" : "server_no_longer_crowded",
-            {{"server", key.server.value}, {"running_at_most", static_cast<std::uint64_t>(limit.most)}});
+            severity::info, limit.aimd_limit > 0 ? "server_crowded" : "server_no_longer_crowded",
+            {{"server", key.server.value}, {"running_at_most", static_cast<std::uint64_t>(limit.aimd_limit)}});
     }
     carry_out(key, actions);
     settle_others(key.server);
@@ -112,7 +112,7 @@
 void backend_pools::note_statement_begun(const share_key& key, connection_number number) {
     const auto found = pools_.find(key);
     if (found != pools_.end()) {
-        statement_begun(found->second.state, number);
+        statement_started(found->second.state, number);
     }
 }
 
@@ -148,7 +148,7 @@
             others_first = others_first || (waiting_count(other.state) > 0 && other.served < p.served);
         }
     }
-    p.state.limit.elsewhere = elsewhere + (let_others_first && others_first ? p.state.limit.permits : 0);
+    p.state.limit.used_by_other_pools = elsewhere + (let_others_first && others_first ? p.state.limit.permits : 0);
 }
 
 // What one pool has left serves the others, those first that have waited longer for their turn.
@@ -167,7 +167,7 @@
         pool& p = pools_[key];
         count_elsewhere(key, p, false);
         pool_actions actions;
-        set_permits(p.state, p.state.limit.permits, p.state.limit.elsewhere, now(), next_connection_,
+        set_permits(p.state, p.state.limit.permits, p.state.limit.used_by_other_pools, now(), next_connection_,
                     actions);
         carry_out(key, actions);
     }
@@ -186,7 +186,7 @@
     p.state.limit.permits = order.permits;
     count_elsewhere(key, p, false);
     pool_actions actions;
-    set_permits(p.state, order.permits, p.state.limit.elsewhere, now(), next_connection_, actions);
+    set_permits(p.state, order.permits, p.state.limit.used_by_other_pools, now(), next_connection_, actions);
     carry_out(key, actions);
 }
 
@@ -200,7 +200,7 @@
                        .permits = p.order.permits,
                        .running = running_count(p.state),
                        .waiting = {},
-                       .use = p.state.use};
+                       .use = p.state.usage};
         for (const queued_request& w : p.state.queue.waiting) {
             ++r.waiting.at(static_cast<std::size_t>(w.klass));
         }
@@ -255,7 +255,7 @@
     server_usage use;
     for (const auto& [key, p] : pools_) {
         if (key.server == server) {
-            use.running += static_cast<unsigned>(p.state.busy.size() - p.state.resting.size());
+            use.running += static_cast<unsigned>(p.state.busy.size() - p.state.idle_in_transaction.size());
             use.waiting += waiting_count(p.state);
             use.slots = std::max(use.slots, p.state.limit.permits);
         }
@@ -265,12 +265,12 @@
 
 bool backend_pools::is_turned_away(const share_key& key) const {
     const auto found = pools_.find(key);
-    return found != pools_.end() && larchpin::is_turned_away(found->second.state);
+    return found != pools_.end() && larchpin::is_server_full(found->second.state);
 }
 
 void backend_pools::look_for_room(const share_key& key) {
     pool_actions actions;
-    larchpin::look_for_room(find_or_make(key).state, now(), next_connection_, actions);
+    larchpin::try_open(find_or_make(key).state, now(), next_connection_, actions);
     carry_out(key, actions);
 }
 
@@ -286,7 +286,7 @@
                 p.connections.erase(found);
                 connection->close();
             }
-        } else if (const auto* use = std::get_if<use_connection>(&action)) {
+        } else if (const auto* use = std::get_if<assign_connection>(&action)) {
             const auto request = p.requests.find(use->request);
             if (request == p.requests.end()) {
                 release(key, use->connection, true, duration{0});
@@ -348,7 +348,7 @@
             ++counters_.open_failed;
             owner.connections.erase(number);
             if (result == connect_result::turned_away) {
-                connection_turned_away(owner.state, number, now(), next_connection_, actions);
+                connection_limit_reached(owner.state, number, now(), next_connection_, actions);
             } else {
                 connection_failed(owner.state, number, now(), next_connection_, actions);
             }
--- a/src/daemon/pools.hpp
+++ b/src/daemon/pools.hpp
@@ -44,7 +44,7 @@
     unsigned permits = 0;
     unsigned running = 0;
     std::array<std::size_t, request_class_count> waiting{}; // by class
-    place_use use;
+    slot_usage use;
 };
 
 struct pool_counters {
--- a/src/daemon/rate_limiter.cpp
+++ b/src/daemon/rate_limiter.cpp
@@ -54,7 +54,7 @@
         return;
     }
     limited_workspace& w = workspaces_[workspace];
-    follow_limit(w.holding, *entry);
+    apply_limit(w.holding, *entry);
     const time_point at = now();
     if (w.waiting.empty() && take_operation(w.holding, at)) {
         done({});
@@ -84,7 +84,7 @@
 void rate_limiter::charge_again(const workspace_id& workspace) {
     const auto found = workspaces_.find(workspace);
     if (found != workspaces_.end()) {
-        owe_operation(found->second.holding);
+        add_debt(found->second.holding);
     }
 }
 
@@ -135,7 +135,7 @@
         if (found == workspaces_.end()) {
             continue;
         }
-        take_grant(found->second.holding, g, sent);
+        apply_grant(found->second.holding, g, sent);
         serve(found->second);
         if (g.retry_after > duration{0}) {
             log_refusal(g, found->second.holding, found->second.waiting.size(), now() - sent);
--- a/src/daemon/request_path.cpp
+++ b/src/daemon/request_path.cpp
@@ -69,7 +69,7 @@
     if (what.patience <= duration{0}) {
         return {.until = deadline, .answer_by = {}};
     }
-    const duration for_answer = what.begin.empty() ? what.patience : what.patience / transaction_parts;
+    const duration for_answer = what.begin.empty() ? what.patience : what.patience / transaction_time_divisor;
     const duration for_others = what.patience - for_answer;
     return {.until = std::min(deadline, std::max({deadline - for_others, started_at + what.patience,
                                                   now() + least_queue_time})),
--- a/src/daemon/request_run.cpp
+++ b/src/daemon/request_run.cpp
@@ -75,8 +75,8 @@
         owner_.pools.note_statement_ended(pinned_->key, pinned_->number,
                                           {.took = now() - active_->sent_at,
                                            .klass = state.settings.klass,
-                                           .crowded = outcome.refusal == server_refusal::busy,
-                                           .stays = outcome.transaction != 'I'});
+                                           .overloaded = outcome.refusal == server_refusal::busy,
+                                           .in_transaction = outcome.transaction != 'I'});
     }
 }
 
--- a/tests/control_test.cpp
+++ b/tests/control_test.cpp
@@ -1148,11 +1148,11 @@
     share_ledger l;
     const share_key key{.service = {"g"}, .server = {"s1"}};
     const time_point now{std::chrono::seconds{100}};
-    const holder_number a = number_holder(l, {"a"});
-    const holder_number b = number_holder(l, {"b"});
-    const holder_number gone = number_holder(l, {"gone"});
-    l.counts_until[a] = now + milliseconds{1};
-    l.counts_until[b] = now + milliseconds{1};
+    const holder_number a = assign_holder_number(l, {"a"});
+    const holder_number b = assign_holder_number(l, {"b"});
+    const holder_number gone = assign_holder_number(l, {"gone"});
+    l.held_until[a] = now + milliseconds{1};
+    l.held_until[b] = now + milliseconds{1};
     note_holder(l, key, a, 3, 6);
     note_holder(l, key, b, 4, 2);
     note_holder(l, key, gone, 5, 5);
@@ -1160,7 +1160,7 @@
     EXPECT_EQ(decide_share(l, key, a, 6, 8, now), expected) << "the one whose time is over does not count";
     set_reserves(l, key, {{"gone"}}, 1);
     EXPECT_EQ(decide_share(l, key, a, 6, 8, now).held_by_others, 5U) << "but for its reserve";
-    forget_holder(l, b);
+    remove_holder(l, b);
     EXPECT_EQ(decide_share(l, key, a, 6, 8, now).held_by_others, 1U);
 }
 
--- a/tests/core_test.cpp
+++ b/tests/core_test.cpp
@@ -105,7 +105,7 @@
         const auto others = *rc::gen::container<std::vector<unsigned>>(rc::gen::inRange(0U, 20U));
         std::vector<unsigned> all{own};
         all.insert(all.end(), others.begin(), others.end());
-        RC_ASSERT(fair_part(limit, own, others) == divide_fairly(limit, all).front());
+        RC_ASSERT(fair_share(limit, own, others) == divide_fairly(limit, all).front());
     }));
 }
 
@@ -142,12 +142,12 @@
         const int what = number(10);
         if (what == 10 && !busy_.empty()) {
             const connection_number c = busy_.begin()->first;
-            if (p_.resting.contains(c)) {
-                statement_begun(p_, c);
+            if (p_.idle_in_transaction.contains(c)) {
+                statement_started(p_, c);
             } else {
                 const statement_end end{.took = std::chrono::milliseconds{number(100)},
-                                        .crowded = number(3) == 0,
-                                        .stays = number(1) == 0};
+                                        .overloaded = number(3) == 0,
+                                        .in_transaction = number(1) == 0};
                 statement_ended(p_, c, end, now_, next_connection_, actions);
             }
         } else if (what < 4) {
@@ -168,7 +168,7 @@
             if (number(1) == 0) {
                 connection_failed(p_, c, now_, next_connection_, actions);
             } else {
-                connection_turned_away(p_, c, now_, next_connection_, actions);
+                connection_limit_reached(p_, c, now_, next_connection_, actions);
             }
         } else if (what == 6 && !busy_.empty()) {
             const connection_number c = busy_.begin()->first;
@@ -200,7 +200,7 @@
             } else if (const auto* closed = std::get_if<close_connection>(&a)) {
                 opening_.erase(closed->connection);
                 busy_.erase(closed->connection);
-            } else if (const auto* used = std::get_if<use_connection>(&a)) {
+            } else if (const auto* used = std::get_if<assign_connection>(&a)) {
                 RC_ASSERT(open_requests_.erase(used->request) == 1U);             // answered once
                 RC_ASSERT(busy_.emplace(used->connection, used->request).second); // one request a connection
             } else if (const auto* refused = std::get_if<refuse_request>(&a)) {
@@ -212,17 +212,17 @@
     void check() const {
         RC_ASSERT(p_.busy.size() == busy_.size());
         RC_ASSERT(waiting_count(p_) == open_requests_.size());
-        const auto running = static_cast<unsigned>(p_.busy.size() - p_.resting.size());
+        const auto running = static_cast<unsigned>(p_.busy.size() - p_.idle_in_transaction.size());
         const auto& waiting = p_.queue.waiting;
         const bool critical_waits = std::any_of(
             waiting.begin(), waiting.end(), [](const auto& r) { return r.klass <= request_class::critical; });
         const bool serves = p_.idle.empty() || !critical_waits || !may_send(p_.limit, running);
         RC_ASSERT(serves); // nothing critical waits beside an idle connection that it may use
-        RC_ASSERT(std::includes(p_.busy.begin(), p_.busy.end(), p_.resting.begin(), p_.resting.end()));
+        RC_ASSERT(std::includes(p_.busy.begin(), p_.busy.end(), p_.idle_in_transaction.begin(), p_.idle_in_transaction.end()));
         // By class and deadline, but for one that goes first since it has waited long.
         auto order = order_requests(p_.queue, now_);
         const auto waits_long = [&](const queued_request& r) {
-            return (now_ - r.since) * kept_after >= r.deadline - r.since;
+            return (now_ - r.queued_at) * aging_wait_divisor >= r.deadline - r.queued_at;
         };
         if (!order.empty() && waits_long(waiting[order.front()])) {
             order.erase(order.begin());
@@ -293,8 +293,8 @@
         connection_opened(p, c, now, next, actions);
     }
     ASSERT_EQ(p.busy.size(), 4U);
-    statement_ended(p, 1, {.crowded = true}, now, next, actions);
-    EXPECT_EQ(p.limit.most, 2U) << "half of what ran";
+    statement_ended(p, 1, {.overloaded = true}, now, next, actions);
+    EXPECT_EQ(p.limit.aimd_limit, 2U) << "half of what ran";
     ask(5, request_class::normal, 500);
     ask(6, request_class::normal, 250);
     ask(7, request_class::critical, 500);
@@ -303,10 +303,10 @@
     EXPECT_TRUE(actions.empty()) << "three still run";
     release_connection(p, 2, true, std::chrono::milliseconds{20}, now, next, actions);
     release_connection(p, 3, true, std::chrono::milliseconds{20}, now, next, actions);
-    EXPECT_EQ(std::get<use_connection>(actions.at(0)).request, 7U) << "the class goes first";
+    EXPECT_EQ(std::get<assign_connection>(actions.at(0)).request, 7U) << "the class goes first";
     actions.clear();
-    statement_ended(p, 4, {.took = std::chrono::milliseconds{5}, .stays = true}, now, next, actions);
-    EXPECT_EQ(std::get<use_connection>(actions.at(0)).request, 6U)
+    statement_ended(p, 4, {.took = std::chrono::milliseconds{5}, .in_transaction = true}, now, next, actions);
+    EXPECT_EQ(std::get<assign_connection>(actions.at(0)).request, 6U)
         << "a transaction at rest leaves its place, and the nearer deadline is next";
 }
 
@@ -321,19 +321,19 @@
     };
     answer_for_a_second(std::chrono::milliseconds{20});
     EXPECT_TRUE(may_send(l, 1000)) << "there is none until a server complains";
-    note_crowded(l, 16, now);
-    note_crowded(l, 8, now + std::chrono::milliseconds{10});
-    EXPECT_EQ(l.most, 8U) << "refusals of one moment count once";
+    note_overload(l, 16, now);
+    note_overload(l, 8, now + std::chrono::milliseconds{10});
+    EXPECT_EQ(l.aimd_limit, 8U) << "refusals of one moment count once";
     answer_for_a_second(std::chrono::milliseconds{200});
-    EXPECT_EQ(l.most, 8U);
+    EXPECT_EQ(l.aimd_limit, 8U);
     answer_for_a_second(std::chrono::milliseconds{200});
-    EXPECT_EQ(l.most, 9U) << "slow answers: one step in 2 s";
+    EXPECT_EQ(l.aimd_limit, 9U) << "slow answers: one step in 2 s";
     for (int i = 0; i < 3; ++i) {
         answer_for_a_second(std::chrono::milliseconds{20});
     }
-    EXPECT_EQ(l.most, 0U) << "quick answers end it";
-    note_crowded(l, 1, now);
-    EXPECT_EQ(l.most, 1U) << "never none";
+    EXPECT_EQ(l.aimd_limit, 0U) << "quick answers end it";
+    note_overload(l, 1, now);
+    EXPECT_EQ(l.aimd_limit, 1U) << "never none";
 }
 
 TEST(running_limit, takes_no_class_of_longer_statements_for_a_crowd) {
@@ -345,7 +345,7 @@
         note_statement_answered(
             l, {.took = std::chrono::milliseconds{klass == 0 ? 5 : 60}, .klass = klass, .share = 12}, now);
     }
-    EXPECT_LT(l.stretch, 1.2);
+    EXPECT_LT(l.slowdown, 1.2);
 }
 
 // The pattern: a primary alone, more work than it can do. Requests of two objectives come, and in the order
@@ -371,7 +371,7 @@
                 pool_actions more;
                 connection_opened(p, opened->connection, now, next, more);
                 actions.insert(actions.end(), more.begin(), more.end());
-            } else if (const auto* use = std::get_if<use_connection>(&a)) {
+            } else if (const auto* use = std::get_if<assign_connection>(&a)) {
                 ++outcomes[asked[use->request].first].served;
                 free_at = now + work;
             } else if (const auto* refused = std::get_if<refuse_request>(&a)) {
@@ -419,7 +419,7 @@
     pool_actions actions;
     const time_point now{std::chrono::seconds{1}};
     set_share(p, 1, now, next, actions);
-    p.limit.times.fill({.usual = std::chrono::milliseconds{100}, .least = std::chrono::milliseconds{100}});
+    p.limit.response_times.fill({.smoothed = std::chrono::milliseconds{100}, .baseline = std::chrono::milliseconds{100}});
     const auto ask = [&](request_number id, request_class klass) {
         actions.clear();
         request_connection(p,
@@ -448,15 +448,15 @@
         EXPECT_LE(p.opening.size(), 1U) << "but for the first, which knew nothing";
         while (!p.opening.empty()) {
             ++attempts;
-            connection_turned_away(p, *p.opening.begin(), now, next, actions);
+            connection_limit_reached(p, *p.opening.begin(), now, next, actions);
         }
     }
-    EXPECT_TRUE(is_turned_away(p));
+    EXPECT_TRUE(is_server_full(p));
     EXPECT_LE(attempts, 13U) << "pauses of 200 ms in 2 s, shorter ones at first";
-    look_for_room(p, now + std::chrono::seconds{1}, next, actions);
+    try_open(p, now + std::chrono::seconds{1}, next, actions);
     ASSERT_EQ(p.opening.size(), 1U) << "also where no request waits";
     connection_opened(p, *p.opening.begin(), now, next, actions);
-    EXPECT_FALSE(is_turned_away(p));
+    EXPECT_FALSE(is_server_full(p));
 }
 
 TEST(pool, refuses_at_once_what_it_cannot_serve_in_time) {
--- a/tests/ordering_test.cpp
+++ b/tests/ordering_test.cpp
@@ -261,7 +261,7 @@
                        .length = milliseconds{12},
                        .is_opening = true,
                        .ends = {}});
-            } else if (const auto* u = std::get_if<use_connection>(&a)) {
+            } else if (const auto* u = std::get_if<assign_connection>(&a)) {
                 used.push_back(u->request);
                 given[u->connection] = now;
                 if (transactions.contains(u->request)) {
@@ -318,7 +318,7 @@
         }
         const auto under_way = open.find(w.connection);
         const bool stays = under_way != open.end() && under_way->second.statements_left > 0;
-        statement_ended(p, w.connection, {.took = w.length, .stays = stays}, now, next, actions);
+        statement_ended(p, w.connection, {.took = w.length, .in_transaction = stays}, now, next, actions);
         if (stays) {
             next_statement_at[w.connection] = now + under_way->second.pause;
         } else {
@@ -350,7 +350,7 @@
         for (const connection_number c : due) {
             next_statement_at.erase(c);
             --open.at(c).statements_left;
-            statement_begun(p, c);
+            statement_started(p, c);
             send({.connection = c, .length = milliseconds{8}, .is_opening = false, .ends = {}});
         }
         pool_actions actions;
@@ -585,7 +585,7 @@
             }
             const auto& waiting = s.p.queue.waiting;
             const bool long_wait = std::any_of(waiting.begin(), waiting.end(), [&](const queued_request& w) {
-                return s.now - w.since > milliseconds{10};
+                return s.now - w.queued_at > milliseconds{10};
             });
             if (long_wait) {
                 const auto busy = std::min<std::size_t>(slots, s.at_server.size());
@@ -597,7 +597,7 @@
         EXPECT_LT(idle * 50, counted)
             << "seed " << seed << ": idle " << idle.count() << " of " << counted.count();
         EXPECT_LE(s.most_at_once, slots + 1 + 6) << "six transactions' statements beyond, at most";
-        EXPECT_GT(s.p.use.waited, duration{0});
+        EXPECT_GT(s.p.usage.waited, duration{0});
         std::sort(urgent_waits.begin(), urgent_waits.end());
         EXPECT_LT(urgent_waits.at(urgent_waits.size() * 9 / 10), milliseconds{60}) << "seed " << seed;
     }
--- a/tests/request_queue_test.cpp
+++ b/tests/request_queue_test.cpp
@@ -24,10 +24,10 @@
 // [a server in virtual time]
 //-----------------------------------------------------------------------------
 
-struct kind {
+struct workload {
     std::string name;
     request_class klass = request_class::normal;
-    duration work{0};
+    duration service_time{0};
     duration objective{0};
     duration deadline{0};
     std::function<double(duration)> per_second; // at this time of the run
@@ -35,47 +35,47 @@
     unsigned weight = 1;
 };
 
-struct kind_result {
+struct workload_result {
     unsigned asked = 0;
-    unsigned in_time = 0;
+    unsigned on_time = 0;
     unsigned late = 0;
-    unsigned refused_at_once = 0;
+    unsigned refused_on_arrival = 0;
     unsigned refused_later = 0;
     duration longest_wait{0};
     duration waited{0}; // by all that were sent
-    [[nodiscard]] unsigned served() const { return in_time + late; }
+    [[nodiscard]] unsigned served() const { return on_time + late; }
 };
 
 // Callers, one pool, and a server that does `places` statements at once. Work is what its kind says, give or
 // take a half; arrivals are by chance.
-class busy_server {
+class simulated_server {
 public:
-    busy_server(unsigned places, std::vector<kind> kinds, std::uint64_t seed)
-        : places_(places), kinds_(std::move(kinds)), random_(seed) {
-        pool.limit.most = places;
+    simulated_server(unsigned places, std::vector<workload> kinds, std::uint64_t seed)
+        : slots_(places), workloads_(std::move(kinds)), random_(seed) {
+        pool.limit.aimd_limit = places;
         pool_actions actions;
         set_share(pool, connections, now, next_connection_, actions);
-        carry_out(actions);
+        apply_actions(actions);
     }
 
     void run(duration length) {
         for (const time_point end = now + length; now < end;) {
             now += milliseconds{1};
-            for (const kind& k : kinds_) {
+            for (const workload& k : workloads_) {
                 if (std::uniform_real_distribution<double>(0, 1)(random_) <
-                    k.per_second(now - began) / 1000.0) {
+                    k.per_second(now - start) / 1000.0) {
                     ask(k);
                 }
             }
             finish_work();
             pool_actions actions;
             expire_waiters(pool, now, next_connection_, actions);
-            carry_out(actions);
+            apply_actions(actions);
         }
     }
 
     // The refusal where it was refused at once.
-    std::optional<refuse_request> ask(const kind& k) {
+    std::optional<refuse_request> ask(const workload& k) {
         const request_number number = next_request_++;
         asked_[number] = {.of = k, .at = now};
         ++results[k.name].asked;
@@ -94,19 +94,19 @@
             const auto* refused = std::get_if<refuse_request>(&a);
             refusal = refused != nullptr && refused->request == number ? std::optional{*refused} : refusal;
         }
-        carry_out(actions);
+        apply_actions(actions);
         return refusal;
     }
 
     pool_state pool;
     time_point now{seconds{100}};
-    const time_point began{seconds{100}};
-    std::map<std::string, kind_result> results;
+    const time_point start{seconds{100}};
+    std::map<std::string, workload_result> results;
 
 private:
     static constexpr unsigned connections = 60;
     struct asked_request {
-        kind of;
+        workload of;
         time_point at{};
     };
     struct running_statement {
@@ -126,44 +126,44 @@
             const running_statement r = *done;
             running_.erase(done);
             const asked_request& a = asked_.at(r.request);
-            kind_result& sum = results[a.of.name];
-            ++(now <= a.at + a.of.objective ? sum.in_time : sum.late);
+            workload_result& sum = results[a.of.name];
+            ++(now <= a.at + a.of.objective ? sum.on_time : sum.late);
             EXPECT_LE(r.sent, a.at + a.of.deadline);
             pool_actions actions;
             statement_ended(pool, r.connection, {.took = now - r.sent, .klass = a.of.klass}, now,
                             next_connection_, actions);
-            pool.limit.most = places_; // it would grow
+            pool.limit.aimd_limit = slots_; // it would grow
             release_connection(pool, r.connection, true, now - r.sent, now, next_connection_, actions);
-            carry_out(actions);
+            apply_actions(actions);
         }
     }
 
-    void carry_out(const pool_actions& actions) {
+    void apply_actions(const pool_actions& actions) {
         for (const pool_action& action : actions) {
             if (const auto* opened = std::get_if<open_connection>(&action)) {
                 pool_actions more;
                 connection_opened(pool, opened->connection, now, next_connection_, more);
-                carry_out(more);
-            } else if (const auto* used = std::get_if<use_connection>(&action)) {
+                apply_actions(more);
+            } else if (const auto* used = std::get_if<assign_connection>(&action)) {
                 const asked_request& a = asked_.at(used->request);
-                kind_result& sum = results[a.of.name];
+                workload_result& sum = results[a.of.name];
                 sum.longest_wait = std::max(sum.longest_wait, now - a.at);
                 sum.waited += now - a.at;
-                const auto half = a.of.work.count() / 2;
+                const auto half = a.of.service_time.count() / 2;
                 const duration work{
-                    std::uniform_int_distribution<std::int64_t>(half, a.of.work.count() + half)(random_)};
+                    std::uniform_int_distribution<std::int64_t>(half, a.of.service_time.count() + half)(random_)};
                 running_.push_back({used->connection, used->request, now, now + work});
-                EXPECT_LE(running_.size(), places_);
+                EXPECT_LE(running_.size(), slots_);
             } else if (const auto* refused = std::get_if<refuse_request>(&action)) {
                 const asked_request& a = asked_.at(refused->request);
-                kind_result& sum = results[a.of.name];
-                ++(now == a.at ? sum.refused_at_once : sum.refused_later);
+                workload_result& sum = results[a.of.name];
+                ++(now == a.at ? sum.refused_on_arrival : sum.refused_later);
             }
         }
     }
 
-    unsigned places_;
-    std::vector<kind> kinds_;
+    unsigned slots_;
+    std::vector<workload> workloads_;
     std::mt19937_64 random_;
     connection_number next_connection_ = 1;
     request_number next_request_ = 1;
@@ -171,28 +171,28 @@
     std::vector<running_statement> running_;
 };
 
-std::function<double(duration)> steady(double per_second) {
+std::function<double(duration)> steady_rate(double per_second) {
     return [per_second](duration) { return per_second; };
 }
 
-std::function<double(duration)> crest(double usual, double high, duration from, duration until) {
+std::function<double(duration)> peak_rate(double usual, double high, duration from, duration until) {
     return [=](duration at) { return at >= from && at < until ? high : usual; };
 }
 
 // Orders, questions of people who wait, and patient reads, as callers of a booking service send them.
-kind orders(std::function<double(duration)> rate) {
+workload orders(std::function<double(duration)> rate) {
     return {"orders", request_class::urgent, milliseconds{8}, milliseconds{200}, seconds{1}, std::move(rate)};
 }
-kind lookups(std::function<double(duration)> rate) {
+workload lookups(std::function<double(duration)> rate) {
     return {"lookups",  request_class::critical, milliseconds{24}, milliseconds{400},
             seconds{1}, std::move(rate)};
 }
-kind views(std::function<double(duration)> rate) {
+workload views(std::function<double(duration)> rate) {
     return {"views",    request_class::normal, milliseconds{40}, milliseconds{1200},
             seconds{4}, std::move(rate)};
 }
 
-double part(unsigned of, unsigned all) {
+double fraction(unsigned of, unsigned all) {
     return all == 0 ? 0 : static_cast<double>(of) / all;
 }
 
@@ -235,14 +235,14 @@
 // Half as much again as the server can do for ten seconds, and lookups alone would fill it.
 TEST(request_queue, sends_orders_before_lookups_where_there_is_too_little_room) {
     for (std::uint64_t seed = 1; seed <= 5; ++seed) {
-        busy_server s(5, {orders(steady(200)), lookups(steady(200)), views(steady(25))}, seed);
+        simulated_server s(5, {orders(steady_rate(200)), lookups(steady_rate(200)), views(steady_rate(25))}, seed);
         s.run(seconds{10});
-        const kind_result& o = s.results["orders"];
-        const kind_result& l = s.results["lookups"];
-        EXPECT_EQ(o.refused_at_once + o.refused_later, 0U);
-        EXPECT_GE(part(o.in_time, o.asked), 0.995);
+        const workload_result& o = s.results["orders"];
+        const workload_result& l = s.results["lookups"];
+        EXPECT_EQ(o.refused_on_arrival + o.refused_later, 0U);
+        EXPECT_GE(fraction(o.on_time, o.asked), 0.995);
         EXPECT_LE(o.longest_wait, milliseconds{100}) << "half of the objective";
-        EXPECT_GE(part(l.in_time, l.asked), 0.45) << "what is left of the server";
+        EXPECT_GE(fraction(l.on_time, l.asked), 0.45) << "what is left of the server";
     }
 }
 
@@ -256,13 +256,13 @@
     queued_request r{.request = 1,
                      .deadline = now + seconds{1},
                      .objective = milliseconds{100},
-                     .since = now,
+                     .queued_at = now,
                      .cost = milliseconds{10},
-                     .in_time = now + milliseconds{50}};
+                     .on_time_until = now + milliseconds{50}};
     add_request(q, r);
     r.request = 2;
     r.objective = milliseconds{400};
-    r.in_time = now + milliseconds{350};
+    r.on_time_until = now + milliseconds{350};
     add_request(q, r);
     r.request = 3;
     r.klass = request_class::background;
@@ -278,17 +278,17 @@
 // costs no more of them than those that come in it.
 TEST(request_queue, patient_reads_give_way_in_a_crest_and_are_in_time_around_it) {
     for (std::uint64_t seed = 1; seed <= 5; ++seed) {
-        busy_server s(5,
-                      {orders(crest(100, 250, seconds{2}, seconds{4})),
-                       lookups(crest(60, 130, seconds{2}, seconds{4})), views(steady(15))},
+        simulated_server s(5,
+                      {orders(peak_rate(100, 250, seconds{2}, seconds{4})),
+                       lookups(peak_rate(60, 130, seconds{2}, seconds{4})), views(steady_rate(15))},
                       seed);
         s.run(seconds{10});
-        const kind_result& v = s.results["views"];
-        const unsigned refused = v.refused_at_once + v.refused_later;
-        EXPECT_LE(part(refused, v.asked), 0.32)
+        const workload_result& v = s.results["views"];
+        const unsigned refused = v.refused_on_arrival + v.refused_later;
+        EXPECT_LE(fraction(refused, v.asked), 0.32)
             << "the crest of 2 s, and the 1.2 s after it that were waited for";
-        EXPECT_LE(part(v.late, v.asked - refused), 0.05);
-        EXPECT_GE(part(s.results["orders"].in_time, s.results["orders"].asked), 0.995);
+        EXPECT_LE(fraction(v.late, v.asked - refused), 0.05);
+        EXPECT_GE(fraction(s.results["orders"].on_time, s.results["orders"].asked), 0.995);
     }
 }
 
@@ -299,23 +299,23 @@
 // Ten workspaces that use eight tenths of a server, until one sends eight times its usual.
 TEST(workspaces, one_that_sends_eight_times_its_usual_delays_itself_first) {
     for (std::uint64_t seed = 1; seed <= 5; ++seed) {
-        std::vector<kind> kinds;
+        std::vector<workload> kinds;
         for (int w = 0; w < 10; ++w) {
             const std::string name = "w" + std::to_string(w);
             kinds.push_back({name, request_class::normal, milliseconds{20}, milliseconds{400}, seconds{1},
-                             crest(0, w == 0 ? 160 : 20, seconds{0}, seconds{10}), name});
+                             peak_rate(0, w == 0 ? 160 : 20, seconds{0}, seconds{10}), name});
         }
-        busy_server s(5, kinds, seed);
+        simulated_server s(5, kinds, seed);
         s.run(seconds{12});
         for (int w = 1; w < 10; ++w) {
-            const kind_result& other = s.results["w" + std::to_string(w)];
-            EXPECT_LE(part(other.refused_at_once + other.refused_later, other.asked), 0.01);
-            EXPECT_GE(part(other.in_time, other.asked), 0.98);
+            const workload_result& other = s.results["w" + std::to_string(w)];
+            EXPECT_LE(fraction(other.refused_on_arrival + other.refused_later, other.asked), 0.01);
+            EXPECT_GE(fraction(other.on_time, other.asked), 0.98);
             EXPECT_LE(other.waited / other.served(), milliseconds{40}) << "in the mean two statements' time";
         }
-        const kind_result& own = s.results["w0"];
-        EXPECT_GE(part(own.served(), own.asked), 0.35) << "what the others leave, less its openings";
-        EXPECT_LE(part(own.refused_later, own.asked), 0.05);
+        const workload_result& own = s.results["w0"];
+        EXPECT_GE(fraction(own.served(), own.asked), 0.35) << "what the others leave, less its openings";
+        EXPECT_LE(fraction(own.refused_later, own.asked), 0.05);
     }
 }
 
@@ -327,13 +327,13 @@
         add_request(q, {.request = next++,
                         .deadline = now + seconds{9},
                         .workspace = {w},
-                        .since = now,
+                        .queued_at = now,
                         .cost = milliseconds{10}});
     };
     const auto send = [&] {
         const queued_request r = q.waiting[order_requests(q, now).front()];
         note_sent(q, r.request, now);
-        note_used(q, r.workspace, {.took = milliseconds{10}, .charged = r.cost});
+        note_actual_cost(q, r.workspace, {.took = milliseconds{10}, .charged = r.cost});
         now += milliseconds{2};
         return r.workspace.value;
     };
@@ -357,11 +357,11 @@
     EXPECT_EQ(workspace_weight(3), 1U);
     EXPECT_EQ(workspace_weight(4'000'000'000U), 1U);
     const auto with_weights = [](unsigned a, unsigned b) {
-        busy_server s(2,
+        simulated_server s(2,
                       {{"a", request_class::normal, milliseconds{20}, milliseconds{100}, milliseconds{600},
-                        steady(200), "a", a},
+                        steady_rate(200), "a", a},
                        {"b", request_class::normal, milliseconds{20}, milliseconds{100}, milliseconds{600},
-                        steady(200), "b", b}},
+                        steady_rate(200), "b", b}},
                       1);
         s.run(seconds{10});
         return static_cast<double>(s.results["a"].served()) / s.results["b"].served();
@@ -377,16 +377,16 @@
 // Orders alone are more than the server can do, for as long as the run lasts.
 TEST(request_queue, a_patient_read_is_served_behind_an_endless_stream_of_orders) {
     for (std::uint64_t seed = 1; seed <= 5; ++seed) {
-        busy_server s(5, {orders(steady(800)), views(steady(4))}, seed);
+        simulated_server s(5, {orders(steady_rate(800)), views(steady_rate(4))}, seed);
         s.run(seconds{20});
-        const kind_result& v = s.results["views"];
-        EXPECT_GE(part(v.served(), v.asked), 0.9) << "3% of the server's time, and an eighth is kept";
+        const workload_result& v = s.results["views"];
+        EXPECT_GE(fraction(v.served(), v.asked), 0.9) << "3% of the server's time, and an eighth is kept";
         EXPECT_EQ(v.refused_later, 0U);
     }
 }
 
 // Once a request is the one that has waited longest of all that are behind the first rank, others get
-// kept_parts - 1 times its own work at most, and one request more.
+// aged_share_divisor - 1 times its own work at most, and one request more.
 TEST(request_queue, whoever_has_waited_longest_goes_within_eight_times_its_own_work) {
     EXPECT_TRUE(rc::check([] {
         std::mt19937_64 random(*rc::gen::arbitrary<std::uint32_t>());
@@ -399,7 +399,7 @@
         const queued_request patient{.request = 1,
                                      .klass = request_class::background,
                                      .deadline = now + milliseconds{10},
-                                     .since = now,
+                                     .queued_at = now,
                                      .cost = milliseconds{number(1, 100)}};
         add_request(q, patient);
         now += milliseconds{8}; // has used most of its time, and nobody else ever has
@@ -410,7 +410,7 @@
                                 .klass = static_cast<request_class>(number(0, 2)),
                                 .deadline = now + seconds{1000},
                                 .workspace = {"w" + std::to_string(number(0, 3))},
-                                .since = now,
+                                .queued_at = now,
                                 .cost = milliseconds{number(1, 50)}});
             }
             const queued_request r = q.waiting[order_requests(q, now).front()];
@@ -419,7 +419,7 @@
                 break;
             }
             before += r.cost;
-            RC_ASSERT(before < patient.cost * (kept_parts - 1) + milliseconds{50} + milliseconds{1});
+            RC_ASSERT(before < patient.cost * (aged_share_divisor - 1) + milliseconds{50} + milliseconds{1});
         }
     }));
 }
@@ -431,21 +431,21 @@
 // Twice what the server can do, of every class.
 TEST(request_queue, what_cannot_be_served_is_refused_at_once_and_not_later) {
     for (std::uint64_t seed = 1; seed <= 5; ++seed) {
-        busy_server s(5, {orders(steady(300)), lookups(steady(200)), views(steady(70))}, seed);
+        simulated_server s(5, {orders(steady_rate(300)), lookups(steady_rate(200)), views(steady_rate(70))}, seed);
         s.run(seconds{10});
         for (const auto& [name, r] : s.results) {
-            EXPECT_LE(part(r.refused_later, r.asked), 0.05) << name << ": waits vary";
+            EXPECT_LE(fraction(r.refused_later, r.asked), 0.05) << name << ": waits vary";
             EXPECT_GT(r.asked, 0U);
         }
-        EXPECT_EQ(s.results["orders"].refused_at_once, 0U);
-        EXPECT_GE(s.results["views"].refused_at_once, 100U);
+        EXPECT_EQ(s.results["orders"].refused_on_arrival, 0U);
+        EXPECT_GE(s.results["views"].refused_on_arrival, 100U);
     }
 }
 
 TEST(request_queue, a_refused_request_finds_room_when_it_comes_back_at_the_time_that_it_was_told) {
-    const kind k{"reads",           request_class::normal, milliseconds{20},
-                 milliseconds{200}, milliseconds{500},     steady(0)};
-    busy_server s(4, {k}, 3);
+    const workload k{"reads",           request_class::normal, milliseconds{20},
+                 milliseconds{200}, milliseconds{500},     steady_rate(0)};
+    simulated_server s(4, {k}, 3);
     for (int i = 0; i < 8; ++i) { // it learns what a statement takes
         s.ask(k);
         s.run(milliseconds{50});
@@ -474,7 +474,7 @@
     connection_number next = 1;
     pool_actions actions;
     time_point now{seconds{1}};
-    p.limit.most = 1;
+    p.limit.aimd_limit = 1;
     set_share(p, 4, now, next, actions);
     const auto ask = [&](request_number n) {
         actions.clear();
@@ -484,19 +484,19 @@
             connection_opened(p, c, now, next, actions);
         }
         return std::count_if(actions.begin(), actions.end(),
-                             [](const auto& a) { return std::holds_alternative<use_connection>(a); });
+                             [](const auto& a) { return std::holds_alternative<assign_connection>(a); });
     };
     ASSERT_EQ(ask(1), 1);
     const connection_number c = *p.busy.begin();
-    statement_ended(p, c, {.took = milliseconds{5}, .stays = true}, now, next, actions);
-    p.limit.most = 1;
+    statement_ended(p, c, {.took = milliseconds{5}, .in_transaction = true}, now, next, actions);
+    p.limit.aimd_limit = 1;
     ASSERT_EQ(ask(2), 1) << "the transaction rests, and leaves its place";
     ASSERT_EQ(ask(3), 0);
-    statement_begun(p, c); // its next statement goes at once, though the only place is taken
-    EXPECT_FALSE(p.resting.contains(c));
+    statement_started(p, c); // its next statement goes at once, though the only place is taken
+    EXPECT_FALSE(p.idle_in_transaction.contains(c));
     ASSERT_EQ(waiting_count(p), 1U);
     actions.clear();
-    statement_ended(p, c, {.took = milliseconds{5}, .stays = true}, now, next, actions);
+    statement_ended(p, c, {.took = milliseconds{5}, .in_transaction = true}, now, next, actions);
     EXPECT_TRUE(actions.empty()) << "and new work waits until there is a place again";
 }
 
--- a/tests/workspace_test.cpp
+++ b/tests/workspace_test.cpp
@@ -73,7 +73,7 @@
     EXPECT_EQ(acme.workspace.value, "acme");
     EXPECT_EQ(admit(t, route, digest_key("acme-2"), false).verdict, admission_verdict::admitted);
     EXPECT_EQ(admit(t, route, digest_key("acme"), true).verdict, admission_verdict::refused);
-    EXPECT_EQ(admit(t, route, digest_key("acme"), false).verdict, admission_verdict::not_known)
+    EXPECT_EQ(admit(t, route, digest_key("acme"), false).verdict, admission_verdict::undetermined)
         << "the key may be a new one";
     EXPECT_EQ(admit(t, route, "acme-1", true).verdict, admission_verdict::refused) << "a name is no digest";
 }
@@ -114,15 +114,15 @@
         request_connection(
             p, {.request = number, .klass = klass, .deadline = now + seconds{1}, .workspace = {workspace}},
             now, next, actions);
-        carry_out(actions);
+        apply_actions(actions);
         return number;
     }
-    void give_back(request_number request) {
+    void release(request_number request) {
         pool_actions actions;
         release_connection(p, used.at(request), true, milliseconds{5}, now, next, actions);
-        carry_out(actions);
+        apply_actions(actions);
     }
-    void carry_out(const pool_actions& actions) {
+    void apply_actions(const pool_actions& actions) {
         for (const pool_action& a : actions) {
             if (const auto* o = std::get_if<open_connection>(&a)) {
                 opened[o->connection] = o->workspace;
@@ -130,10 +130,10 @@
                 EXPECT_LE(open_count(p), p.share);
                 pool_actions more;
                 connection_opened(p, o->connection, now, next, more);
-                carry_out(more);
+                apply_actions(more);
             } else if (const auto* c = std::get_if<close_connection>(&a)) {
                 opened.erase(c->connection);
-            } else if (const auto* u = std::get_if<use_connection>(&a)) {
+            } else if (const auto* u = std::get_if<assign_connection>(&a)) {
                 used[u->request] = u->connection;
             } else {
                 ++refused;
@@ -148,8 +148,8 @@
     const request_number b = s.ask("bell");
     EXPECT_EQ(s.opened.at(s.used.at(a)).value, "acme");
     EXPECT_EQ(s.opened.at(s.used.at(b)).value, "bell");
-    s.give_back(a);
-    s.give_back(b);
+    s.release(a);
+    s.release(b);
     const request_number again = s.ask("acme");
     EXPECT_EQ(s.used.at(again), s.used.at(a)) << "its own idle one is used again";
 }
@@ -159,15 +159,15 @@
 TEST(connections, make_room_for_another_workspace_where_the_share_is_used_up) {
     small_pool s(3);
     for (const char* name : {"acme", "bell", "cole"}) {
-        s.give_back(s.ask(name));
+        s.release(s.ask(name));
     }
-    s.give_back(s.ask("acme")); // now bell has rested longest
+    s.release(s.ask("acme")); // now bell has rested longest
     const std::size_t before = s.opened_count;
     const request_number d = s.ask("dunn");
     EXPECT_EQ(s.opened.at(s.used.at(d)).value, "dunn");
     EXPECT_EQ(s.opened_count, before + 1);
-    s.give_back(s.ask("acme"));
-    s.give_back(s.ask("cole"));
+    s.release(s.ask("acme"));
+    s.release(s.ask("cole"));
     EXPECT_EQ(s.opened_count, before + 1) << "bell's was closed, and no other";
 }
 
@@ -181,7 +181,7 @@
     while (!s.used.contains(small) && large_first < 100) {
         const request_number next_large = s.ask("large"); // there is always another one
         s.now += milliseconds{5};
-        s.give_back(large);
+        s.release(large);
         large = next_large;
         ++large_first;
     }
@@ -191,12 +191,12 @@
 
 TEST(connections, of_any_workspace_do_for_what_asks_nothing_of_the_data) {
     small_pool s(1);
-    s.give_back(s.ask("acme"));
+    s.release(s.ask("acme"));
     const request_number probe = s.next_request++;
     pool_actions actions;
     request_connection(s.p, {.request = probe, .deadline = s.now + seconds{1}, .any_workspace = true}, s.now,
                        s.next, actions);
-    s.carry_out(actions);
+    s.apply_actions(actions);
     EXPECT_TRUE(s.used.contains(probe));
     EXPECT_EQ(s.opened_count, 1U);
 }
@@ -206,7 +206,7 @@
 TEST(connections, are_claimed_for_every_workspace_that_asked_lately) {
     small_pool s(25);
     for (int i = 0; i < 40; ++i) {
-        s.give_back(s.ask("w" + std::to_string(i)));
+        s.release(s.ask("w" + std::to_string(i)));
         s.now += milliseconds{20};
     }
     EXPECT_EQ(take_peak_demand(s.p, s.now), 40U);
@@ -271,29 +271,29 @@
         : random_(seed), bounds_(bounds) {
         t_.workspaces = {{.id = {"acme"}, .rate = rate, .burst = burst}};
         daemons_.resize(5);
-        ledger_.since = now_;
+        ledger_.term_started_at = now_;
     }
 
     void step() {
         now_ += milliseconds{number(20)};
-        std::erase_if(on_the_way_, [this](const message& m) {
+        std::erase_if(in_flight_, [this](const message& m) {
             if (m.at <= now_) {
                 deliver(m);
             }
             return m.at <= now_;
         });
-        daemon_side& d = daemons_[static_cast<std::size_t>(number(4))];
+        daemon_state& d = daemons_[static_cast<std::size_t>(number(4))];
         const int what = number(60);
         if (number(150) == 0) {
             flood_ = !flood_;
         }
         if (what == 0) {
-            d.cut_until = now_ + milliseconds{number(3000)};
+            d.disconnected_until = now_ + milliseconds{number(3000)};
         } else if (what == 1) { // starts again, and holds nothing
             d = {.incarnation = d.incarnation + 1, .holding = {}};
         } else if (what == 2 && number(3) == 0) {
             ledger_ = {};
-            ledger_.since = now_;
+            ledger_.term_started_at = now_;
         } else if (what < 30) {
             ask(d);
         } else {
@@ -318,14 +318,14 @@
     [[nodiscard]] std::size_t used_count() const { return used_.size(); }
 
 private:
-    struct daemon_side {
+    struct daemon_state {
         std::uint64_t incarnation = 1;
         std::uint64_t seq = 0;
         rate_holding holding{};
         bool asking = false;
         unsigned waiting = 0;
         unsigned running = 0;
-        time_point cut_until{};
+        time_point disconnected_until{};
     };
     struct message {
         time_point at{};
@@ -337,12 +337,12 @@
     };
 
     int number(int highest) { return std::uniform_int_distribution<int>(0, highest)(random_); }
-    std::size_t index_of(const daemon_side& d) const {
+    std::size_t index_of(const daemon_state& d) const {
         return static_cast<std::size_t>(&d - daemons_.data());
     }
     time_point arrival() { return now_ + milliseconds{number(9) == 0 ? number(1500) : number(5)}; }
 
-    void use(daemon_side& d) {
+    void use(daemon_state& d) {
         for (int i = flood_ ? number(60) : number(1); i > 0; --i) {
             if (!take_operation(d.holding, now_)) {
                 ++d.waiting;
@@ -356,17 +356,17 @@
             }
         }
     }
-    void ask(daemon_side& d) {
+    void ask(daemon_state& d) {
         if (d.asking && number(9) > 0) {
             return; // not given up yet
         }
         const auto claim = make_claim(d.holding, {"acme"}, d.waiting, now_);
-        if (!claim || now_ < d.cut_until) {
+        if (!claim || now_ < d.disconnected_until) {
             return;
         }
         d.asking = true;
         ++d.seq;
-        on_the_way_.push_back({.at = arrival(),
+        in_flight_.push_back({.at = arrival(),
                                .daemon = index_of(d),
                                .incarnation = d.incarnation,
                                .sent = now_,
@@ -376,28 +376,28 @@
                                            .claims = {*claim}}});
     }
     void deliver(const message& m) {
-        daemon_side& d = daemons_[m.daemon];
+        daemon_state& d = daemons_[m.daemon];
         if (!m.grant) {
             const auto grants =
-                answer_rates(ledger_, t_, {.bounds = bounds_, .knows_all = false}, m.request, now_);
+                answer_rate_request(ledger_, t_, {.bounds = bounds_, .prior_grants_expired = false}, m.request, now_);
             if (!grants.empty()) {
                 message back = m;
                 back.at = arrival();
                 back.grant = grants.front();
-                later_.push_back(back);
+                new_messages_.push_back(back);
             }
         } else if (d.incarnation == m.incarnation && d.asking && d.seq == m.request.seq &&
-                   now_ >= d.cut_until) {
+                   now_ >= d.disconnected_until) {
             d.asking = false;
             d.waiting = 0;
-            take_grant(d.holding, *m.grant, m.sent);
+            apply_grant(d.holding, *m.grant, m.sent);
         }
     }
 
 public:
-    void settle() {
-        on_the_way_.insert(on_the_way_.end(), later_.begin(), later_.end());
-        later_.clear();
+    void queue_new_messages() {
+        in_flight_.insert(in_flight_.end(), new_messages_.begin(), new_messages_.end());
+        new_messages_.clear();
     }
 
 private:
@@ -405,9 +405,9 @@
     rate_bounds bounds_;
     table t_;
     rate_ledger ledger_;
-    std::vector<daemon_side> daemons_;
-    std::deque<message> on_the_way_;
-    std::deque<message> later_;
+    std::vector<daemon_state> daemons_;
+    std::deque<message> in_flight_;
+    std::deque<message> new_messages_;
     std::vector<time_point> used_;
     time_point now_{seconds{100}};
     bool flood_ = false; // everybody asks for far more than there is
@@ -423,7 +423,7 @@
         rate_model model(*rc::gen::arbitrary<std::uint32_t>(), rate, burst, bounds);
         for (int i = 0; i < 6000; ++i) {
             model.step();
-            model.settle();
+            model.queue_new_messages();
         }
         RC_ASSERT(model.used_count() > 0U);
         model.check();
@@ -438,7 +438,7 @@
     const rate_bounds bounds{.window = seconds{5}, .overshoot = 0.1, .tolerance = 20};
     rate_ledger ledger;
     time_point now{seconds{100}};
-    ledger.since = now - seconds{10};
+    ledger.term_started_at = now - seconds{10};
     std::vector<rate_holding> daemons(30);
     std::vector<std::uint64_t> seqs(daemons.size());
     std::mt19937_64 random(7);
@@ -456,11 +456,11 @@
             if (!claim) {
                 continue;
             }
-            const auto grants = answer_rates(
+            const auto grants = answer_rate_request(
                 ledger, t, {.bounds = bounds},
                 {.instance = {std::to_string(i)}, .incarnation = 1, .seq = ++seqs[i], .claims = {*claim}},
                 now);
-            take_grant(daemons[i], grants.at(0), now);
+            apply_grant(daemons[i], grants.at(0), now);
             if (waits) {
                 const bool served = take_operation(daemons[i], now);
                 refused += served ? 0 : 1;
@@ -481,10 +481,10 @@
 
     strict_control() {
         t.workspaces = {{.id = {"acme"}, .rate = 10, .burst = 10}};
-        ledger.since = now - seconds{10};
+        ledger.term_started_at = now - seconds{10};
     }
     std::vector<rate_grant> ask(const std::string& daemon, std::uint64_t seq, const rate_claim& claim) {
-        return answer_rates(ledger, t, {.bounds = {}, .knows_all = false},
+        return answer_rate_request(ledger, t, {.bounds = {}, .prior_grants_expired = false},
                             {.instance = {daemon}, .incarnation = 1, .seq = seq, .claims = {claim}}, now);
     }
 };
@@ -493,7 +493,7 @@
     strict_control c;
     EXPECT_EQ(c.ask("a", 1, {.workspace = {"acme"}, .needed = 10}).at(0).operations, 10U);
     c.ledger = {}; // another leader, which has not heard of "a"
-    c.ledger.since = c.now;
+    c.ledger.term_started_at = c.now;
     c.now += milliseconds{900}; // "a" may let its ten through even now
     EXPECT_EQ(c.ask("b", 1, {.workspace = {"acme"}, .needed = 10}).at(0).operations, 0U);
     c.now += seconds{2};
@@ -503,8 +503,8 @@
 TEST(rate_limits, what_a_silent_daemon_holds_ends_there_before_control_gives_it_to_others) {
     strict_control c;
     rate_holding a;
-    follow_limit(a, c.t.workspaces.front());
-    take_grant(a, c.ask("a", 1, {.workspace = {"acme"}, .needed = 10}).at(0), c.now);
+    apply_limit(a, c.t.workspaces.front());
+    apply_grant(a, c.ask("a", 1, {.workspace = {"acme"}, .needed = 10}).at(0), c.now);
     c.now += milliseconds{985}; // within the drift of two clocks of a second
     EXPECT_TRUE(take_operation(a, c.now));
     EXPECT_EQ(c.ask("b", 1, {.workspace = {"acme"}, .needed = 10}).at(0).operations, 0U);
@@ -535,10 +535,10 @@
     t.workspaces = {{.id = {"acme"}, .rate = 4, .burst = 1}};
     rate_ledger ledger;
     const time_point now{seconds{100}};
-    ledger.since = now - seconds{10};
+    ledger.term_started_at = now - seconds{10};
     const rate_request flood{
         .instance = {"i"}, .incarnation = 1, .seq = 1, .claims = {{.workspace = {"acme"}, .needed = 20}}};
-    const auto grants = answer_rates(ledger, t, {.bounds = {}}, flood, now);
+    const auto grants = answer_rate_request(ledger, t, {.bounds = {}}, flood, now);
     EXPECT_EQ(grants.at(0).operations, 1U);
     EXPECT_EQ(grants.at(0).retry_after, milliseconds{250});
 }
@@ -546,11 +546,11 @@
 TEST(rate_limits, a_lowered_limit_drops_what_was_given_under_the_old_one) {
     rate_holding h;
     const time_point now{seconds{100}};
-    follow_limit(h, {.id = {"acme"}, .rate = 100, .burst = 50});
-    take_grant(h, {.workspace = {"acme"}, .operations = 30}, now);
-    follow_limit(h, {.id = {"acme"}, .rate = 100, .burst = 50});
+    apply_limit(h, {.id = {"acme"}, .rate = 100, .burst = 50});
+    apply_grant(h, {.workspace = {"acme"}, .operations = 30}, now);
+    apply_limit(h, {.id = {"acme"}, .rate = 100, .burst = 50});
     EXPECT_EQ(h.held, 30U);
-    follow_limit(h, {.id = {"acme"}, .rate = 10, .burst = 50});
+    apply_limit(h, {.id = {"acme"}, .rate = 10, .burst = 50});
     EXPECT_FALSE(take_operation(h, now));
 }
 
