--- a/bench/control_bench.cpp
+++ b/bench/control_bench.cpp
@@ -363,8 +363,8 @@
     s.group = {"g"};
     s.floor = session_token{.group = {"g"}, .term = 1, .position = 5};
     std::mt19937_64 random(1);
-    read_wish wish;
-    wish.asked_at = std::chrono::seconds{1};
+    read_context wish;
+    wish.arrived_at = std::chrono::seconds{1};
     wish.now = std::chrono::seconds{1};
     wish.lease_live = true;
     const double strict = cost_of(200000, [&] { route_read(g, s, wish, {}, random); });
--- a/bench/model/loaded_group.cpp
+++ b/bench/model/loaded_group.cpp
@@ -193,8 +193,8 @@
             v.latency = expected_latency(entries_[e].health[s], now_);
             view.servers.push_back(v);
         }
-        read_wish wish{
-            .staleness = kind.staleness, .asked_at = asked_at, .now = now_, .lease_live = true, .avoid = {}};
+        read_context wish{
+            .staleness = kind.staleness, .arrived_at = asked_at, .now = now_, .lease_live = true, .excluded = {}};
         session_state session;
         session.arrived_at = asked_at;
         const routing_decision d =
--- a/src/core/routing.cpp
+++ b/src/core/routing.cpp
@@ -8,9 +8,9 @@
 namespace {
 
 constexpr double ns_per_ms = 1e6;
-constexpr double mostly = 0.5;
+constexpr double high_failure_share = 0.5;
 // A renewal takes a round trip, and another one after a change of leader.
-constexpr duration lease_wait = std::chrono::milliseconds{30};
+constexpr duration max_lease_wait = std::chrono::milliseconds{30};
 
 double to_ms(duration d) {
     return static_cast<double>(d.count()) / ns_per_ms;
@@ -24,38 +24,38 @@
     // One that has not been tried yet counts as fast, or it would never be tried.
     const double latency = to_ms(s.latency);
     const double queue = 1.0 + s.outstanding;
-    return latency * queue * (s.near ? 1.0 : settings.far_penalty);
+    return latency * queue * (s.same_domain ? 1.0 : settings.cross_domain_penalty);
 }
 
-double draw_weight(const server_view& s) {
-    return s.weight * s.ramp;
+double selection_weight(const server_view& s) {
+    return s.weight * s.slow_start_factor;
 }
 
-const server_view* draw(const std::vector<const server_view*>& from, std::mt19937_64& random) {
+const server_view* draw_weighted(const std::vector<const server_view*>& candidates, std::mt19937_64& random) {
     double total = 0;
-    for (const server_view* s : from) {
-        total += draw_weight(*s);
+    for (const server_view* s : candidates) {
+        total += selection_weight(*s);
     }
-    std::uniform_real_distribution<double> pick(0, total);
-    double left = pick(random);
-    for (const server_view* s : from) {
-        left -= draw_weight(*s);
-        if (left < 0) {
+    std::uniform_real_distribution<double> distribution(0, total);
+    double remaining = distribution(random);
+    for (const server_view* s : candidates) {
+        remaining -= selection_weight(*s);
+        if (remaining < 0) {
             return s;
         }
     }
-    return from.back();
+    return candidates.back();
 }
 
 // Without a lease nobody knows whether the primary has been replaced. It is then one more server that holds
 // what it is known to hold, but only for reads that surely write nothing: it would not refuse a write.
-bool may_ever_take_reads(const group_view& g, const server_view& s, bool as_replica) {
-    return (s.id != g.record.primary || as_replica) && s.weight > 0 && s.ramp > 0 && !s.leaving &&
-           !s.silent && s.has_connections;
+bool is_read_candidate(const group_view& g, const server_view& s, bool allow_primary) {
+    return (s.id != g.record.primary || allow_primary) && s.weight > 0 && s.slow_start_factor > 0 && !s.leaving &&
+           !s.unresponsive && s.has_connections;
 }
 
-bool may_take_reads(const group_view& g, const server_view& s, bool as_replica, time_point now) {
-    return may_ever_take_reads(g, s, as_replica) && now >= s.ejected_until;
+bool may_take_reads(const group_view& g, const server_view& s, bool allow_primary, time_point now) {
+    return is_read_candidate(g, s, allow_primary) && now >= s.ejected_until;
 }
 
 routing_decision to_server(const server_id& id, bool is_primary) {
@@ -81,88 +81,88 @@
 
 // Of two drawn by weight, the one with the smaller expected delay. Where some are near, one of the two is, so
 // that a read stays in its failure domain unless the far one is quicker by more than its penalty.
-const server_view& choose_untold(const std::vector<const server_view*>& fit, const routing_settings& settings,
+const server_view& choose_by_latency(const std::vector<const server_view*>& candidates, const routing_settings& settings,
                                  std::mt19937_64& random) {
-    std::vector<const server_view*> near;
-    std::vector<const server_view*> far;
-    for (const server_view* s : fit) {
-        (s->near ? near : far).push_back(s);
+    std::vector<const server_view*> local_servers;
+    std::vector<const server_view*> remote_servers;
+    for (const server_view* s : candidates) {
+        (s->same_domain ? local_servers : remote_servers).push_back(s);
     }
-    const server_view* first = draw(near.empty() ? far : near, random);
-    const server_view* second = draw(far.empty() ? near : far, random);
+    const server_view* first = draw_weighted(local_servers.empty() ? remote_servers : local_servers, random);
+    const server_view* second = draw_weighted(remote_servers.empty() ? local_servers : remote_servers, random);
     return expected_delay(*second, settings) < expected_delay(*first, settings) ? *second : *first;
 }
 
 // True with this probability; outside 0..1 never, or always.
-bool happens(double probability, std::mt19937_64& random) {
+bool with_probability(double probability, std::mt19937_64& random) {
     return std::uniform_real_distribution<double>(0, 1)(random) < probability;
 }
 
 // What is not known counts as the quickest that is, or it would never be known.
-std::vector<double> expected_delays(const std::vector<const server_view*>& fit,
+std::vector<double> expected_delays(const std::vector<const server_view*>& candidates,
                                     const routing_settings& settings) {
     std::vector<double> delays;
-    double least = 0;
-    for (const server_view* s : fit) {
+    double lowest_known = 0;
+    for (const server_view* s : candidates) {
         const bool unknown = s->load ? s->load->load.response_time.count() == 0 : s->latency.count() == 0;
         delays.push_back(unknown ? 0 : expected_delay(*s, settings));
-        if (delays.back() > 0 && (least == 0 || delays.back() < least)) {
-            least = delays.back();
+        if (delays.back() > 0 && (lowest_known == 0 || delays.back() < lowest_known)) {
+            lowest_known = delays.back();
         }
     }
     for (double& d : delays) {
-        d = d > 0 ? d : std::max(least, 1.0);
+        d = d > 0 ? d : std::max(lowest_known, 1.0);
     }
     return delays;
 }
 
 // Drawn by the inverse square of the expected time. A far one costs a border crossing, so it gets reads only
 // as far as it is quicker than the near ones, and its full weight where they take twice as long.
-const server_view& choose_told(const std::vector<const server_view*>& fit, const routing_settings& settings,
+const server_view& choose_by_load(const std::vector<const server_view*>& candidates, const routing_settings& settings,
                                std::mt19937_64& random) {
-    const std::vector<double> delays = expected_delays(fit, settings);
-    double nearest = 0;
-    for (std::size_t i = 0; i < fit.size(); ++i) {
-        if (fit[i]->near && (nearest == 0 || delays[i] < nearest)) {
-            nearest = delays[i];
+    const std::vector<double> delays = expected_delays(candidates, settings);
+    double lowest_local_delay = 0;
+    for (std::size_t i = 0; i < candidates.size(); ++i) {
+        if (candidates[i]->same_domain && (lowest_local_delay == 0 || delays[i] < lowest_local_delay)) {
+            lowest_local_delay = delays[i];
         }
     }
     std::vector<double> weights;
-    for (std::size_t i = 0; i < fit.size(); ++i) {
-        const double gain =
-            fit[i]->near || nearest == 0 ? 1.0 : std::clamp(nearest / delays[i] - 1.0, 0.0, 1.0);
-        weights.push_back(draw_weight(*fit[i]) * gain / (delays[i] * delays[i]));
+    for (std::size_t i = 0; i < candidates.size(); ++i) {
+        const double locality_factor =
+            candidates[i]->same_domain || lowest_local_delay == 0 ? 1.0 : std::clamp(lowest_local_delay / delays[i] - 1.0, 0.0, 1.0);
+        weights.push_back(selection_weight(*candidates[i]) * locality_factor / (delays[i] * delays[i]));
     }
-    return *fit[std::discrete_distribution<std::size_t>(weights.begin(), weights.end())(random)];
+    return *candidates[std::discrete_distribution<std::size_t>(weights.begin(), weights.end())(random)];
 }
 
-const server_view& choose(const std::vector<const server_view*>& fit, const routing_settings& settings,
+const server_view& choose_server(const std::vector<const server_view*>& candidates, const routing_settings& settings,
                           std::mt19937_64& random) {
-    const bool told = std::any_of(fit.begin(), fit.end(), [](const auto* s) { return s->load.has_value(); });
-    return told ? choose_told(fit, settings, random) : choose_untold(fit, settings, random);
+    const bool any_load_known = std::any_of(candidates.begin(), candidates.end(), [](const auto* s) { return s->load.has_value(); });
+    return any_load_known ? choose_by_load(candidates, settings, random) : choose_by_latency(candidates, settings, random);
 }
 
 // The replica that a workspace prefers, the same one on every instance; nothing where that is clearly slower
 // than another one. Where loads are told all instances see that at the same time, and leave it by and by.
-const server_view* prefer(const std::vector<const server_view*>& fit, const workspace_id& workspace,
+const server_view* preferred_for_workspace(const std::vector<const server_view*>& candidates, const workspace_id& workspace,
                           const routing_settings& settings, std::mt19937_64& random) {
     const auto rank = [&](const server_view* s) { return stable_hash(workspace.value, s->id.value); };
     const server_view* preferred = *std::min_element(
-        fit.begin(), fit.end(), [&](const auto* a, const auto* b) { return rank(a) < rank(b); });
+        candidates.begin(), candidates.end(), [&](const auto* a, const auto* b) { return rank(a) < rank(b); });
     const auto delay = [&](const server_view* s) {
-        return expected_delay(*s, settings) / (s->near || s->load ? 1.0 : settings.far_penalty);
+        return expected_delay(*s, settings) / (s->same_domain || s->load ? 1.0 : settings.cross_domain_penalty);
     };
-    const server_view* quickest = *std::min_element(
-        fit.begin(), fit.end(), [&](const auto* a, const auto* b) { return delay(a) < delay(b); });
-    if (preferred->load && quickest->load) {
-        const double times = delay(preferred) / std::max(delay(quickest), 1.0);
-        return happens(1.5 - times / settings.workspace_loyalty, random) ? preferred : nullptr;
+    const server_view* fastest = *std::min_element(
+        candidates.begin(), candidates.end(), [&](const auto* a, const auto* b) { return delay(a) < delay(b); });
+    if (preferred->load && fastest->load) {
+        const double delay_ratio = delay(preferred) / std::max(delay(fastest), 1.0);
+        return with_probability(1.5 - delay_ratio / settings.workspace_affinity_factor, random) ? preferred : nullptr;
     }
-    return delay(preferred) <= settings.workspace_loyalty * delay(quickest) ? preferred : nullptr;
+    return delay(preferred) <= settings.workspace_affinity_factor * delay(fastest) ? preferred : nullptr;
 }
 
-bool is_avoided(const read_wish& wish, const server_id& id) {
-    return std::find(wish.avoid.begin(), wish.avoid.end(), id) != wish.avoid.end();
+bool is_excluded(const read_context& context, const server_id& id) {
+    return std::find(context.excluded.begin(), context.excluded.end(), id) != context.excluded.end();
 }
 
 const server_view* find_primary(const group_view& g) {
@@ -172,52 +172,52 @@
 }
 
 // Nothing of this daemon has gone there lately, so what it saw there last may be long over.
-bool is_due_for_trial(const server_view& s, const read_wish& wish, const routing_settings& settings) {
-    const bool asked_once = s.asked_at != time_point{};
-    return asked_once && s.outstanding == 0 && wish.now - s.asked_at > settings.replica_trial_interval;
+bool is_due_for_trial(const server_view& s, const read_context& context, const routing_settings& settings) {
+    const bool used_before = s.last_request_at != time_point{};
+    return used_before && s.outstanding == 0 && context.now - s.last_request_at > settings.replica_trial_interval;
 }
 
 // The primary may be read, and answers as far as is known.
-bool may_primary_read(const group_view& g, const read_wish& wish) {
+bool can_read_from_primary(const group_view& g, const read_context& context) {
     const server_view* primary = find_primary(g);
-    return primary != nullptr && !is_avoided(wish, primary->id) &&
-           may_take_reads(g, *primary, true, wish.now) &&
-           route_write(g, wish.lease_live).kind == target_kind::server &&
-           !(primary->load && primary->load->load.failure_ratio > mostly);
+    return primary != nullptr && !is_excluded(context, primary->id) &&
+           may_take_reads(g, *primary, true, context.now) &&
+           route_write(g, context.lease_live).kind == target_kind::server &&
+           !(primary->load && primary->load->load.failure_ratio > high_failure_share);
 }
 
-bool goes_to_primary(const group_view& g, const server_view& replica, const read_wish& wish,
+bool prefers_primary(const group_view& g, const server_view& replica, const read_context& context,
                      const routing_settings& settings, std::mt19937_64& random) {
-    if (!may_primary_read(g, wish)) {
+    if (!can_read_from_primary(g, context)) {
         return false;
     }
     const server_view* primary = find_primary(g);
-    const double replicas = expected_delay(replica, settings);
-    const double primarys = expected_delay(*primary, settings);
+    const double replica_delay = expected_delay(replica, settings);
+    const double primary_delay = expected_delay(*primary, settings);
     if (replica.load && !primary->load) {
         return false; // nobody tells that it is idle
     }
     if (replica.load) {
         // The primary's queue is for writes. The better it looks the more reads it gets, up to their half.
-        const double times = replicas / std::max(primarys, 1.0);
+        const double delay_ratio = replica_delay / std::max(primary_delay, 1.0);
         return has_free_slot(*primary->load) &&
-               happens(std::min(2 * times / settings.primary_reluctance - 1, settings.most_to_primary),
+               with_probability(std::min(2 * delay_ratio / settings.primary_delay_factor - 1, settings.max_primary_read_share),
                        random);
     }
-    return replicas > settings.primary_reluctance * primarys && !is_due_for_trial(replica, wish, settings);
+    return replica_delay > settings.primary_delay_factor * primary_delay && !is_due_for_trial(replica, context, settings);
 }
 
 // The replicas that may hold what is asked for. Where all are ejected, the one that comes back first: the
 // primary alone has no room for all reads, and what failed here may be well for everyone else.
-std::vector<const server_view*> likely_servers(const group_view& g, const read_wish& wish, log_position floor,
+std::vector<const server_view*> servers_likely_to_hold(const group_view& g, const read_context& context, log_position floor,
                                                const routing_settings& settings, std::mt19937_64& random) {
     std::vector<const server_view*> usable;
     for (const server_view& server : g.servers) {
-        if (may_ever_take_reads(g, server, !wish.lease_live) && !is_avoided(wish, server.id)) {
+        if (is_read_candidate(g, server, !context.lease_live) && !is_excluded(context, server.id)) {
             usable.push_back(&server);
         }
     }
-    const auto is_ejected = [&](const server_view* s) { return wish.now < s->ejected_until; };
+    const auto is_ejected = [&](const server_view* s) { return context.now < s->ejected_until; };
     if (std::all_of(usable.begin(), usable.end(), is_ejected) && !usable.empty()) {
         usable = {*std::min_element(usable.begin(), usable.end(), [](const auto* a, const auto* b) {
             return a->ejected_until < b->ejected_until;
@@ -226,86 +226,86 @@
         std::erase_if(usable, is_ejected);
     }
     const auto holds = [&](const server_view* s, duration trust) {
-        return likely_has_position(*g.positions, s->id, g.record.timeline, floor, wish.now, trust);
+        return likely_has_position(*g.positions, s->id, g.record.timeline, floor, context.now, trust);
     };
-    std::vector<const server_view*> fit;
+    std::vector<const server_view*> candidates;
     for (const server_view* s : usable) {
-        if (holds(s, settings.position_trust)) {
-            fit.push_back(s);
+        if (holds(s, settings.position_max_age)) {
+            candidates.push_back(s);
         }
     }
-    if (fit.empty() && happens(settings.position_trials, random)) {
+    if (candidates.empty() && with_probability(settings.position_trial_probability, random)) {
         for (const server_view* s : usable) {
-            if (s->load && holds(s, settings.position_trial_age)) {
-                fit.push_back(s);
+            if (s->load && holds(s, settings.position_trial_min_age)) {
+                candidates.push_back(s);
             }
         }
     }
-    return fit;
+    return candidates;
 }
 
 // Servers that refuse what they do not hold make the choice simple: the floor goes with the request.
-routing_decision route_with_floor(const group_view& g, const session_state& s, const read_wish& wish,
+routing_decision route_with_floor(const group_view& g, const session_state& s, const read_context& context,
                                   const routing_settings& settings, std::mt19937_64& random) {
-    const auto floor = demanded_position(g, s, wish);
+    const auto floor = required_position(g, s, context);
     if (!floor) {
-        routing_decision decision = route_write(g, wish.lease_live);
+        routing_decision decision = route_write(g, context.lease_live);
         if (decision.kind == target_kind::server) {
-            decision.kind = target_kind::ask_primary;
+            decision.kind = target_kind::fetch_primary_position;
         }
         return decision;
     }
-    const std::vector<const server_view*> fit = likely_servers(g, wish, *floor, settings, random);
-    if (fit.empty()) {
-        return route_write(g, wish.lease_live);
+    const std::vector<const server_view*> candidates = servers_likely_to_hold(g, context, *floor, settings, random);
+    if (candidates.empty()) {
+        return route_write(g, context.lease_live);
     }
     const server_view* preferred =
-        s.workspace.value.empty() ? nullptr : prefer(fit, s.workspace, settings, random);
-    const server_view& chosen = preferred != nullptr ? *preferred : choose(fit, settings, random);
+        s.workspace.value.empty() ? nullptr : preferred_for_workspace(candidates, s.workspace, settings, random);
+    const server_view& chosen = preferred != nullptr ? *preferred : choose_server(candidates, settings, random);
     // Where all replicas fail, what still goes there is what it takes to see one recover.
-    const bool all_fail = std::all_of(fit.begin(), fit.end(), [](const server_view* v) {
-        return v->load && v->load->load.failure_ratio > mostly;
+    const bool all_fail = std::all_of(candidates.begin(), candidates.end(), [](const server_view* v) {
+        return v->load && v->load->load.failure_ratio > high_failure_share;
     });
-    const bool primary_serves = all_fail && may_primary_read(g, wish);
-    if (primary_serves ? happens(1 - settings.trials_of_failing, random)
-                       : goes_to_primary(g, chosen, wish, settings, random)) {
-        return route_write(g, wish.lease_live);
+    const bool primary_available = all_fail && can_read_from_primary(g, context);
+    if (primary_available ? with_probability(1 - settings.failing_replica_trial_share, random)
+                       : prefers_primary(g, chosen, context, settings, random)) {
+        return route_write(g, context.lease_live);
     }
     routing_decision decision = to_server(chosen.id, false);
     decision.floor = floor;
     return decision;
 }
 
-bool holds(const group_view& g, const server_view& server, const session_token& mark) {
+bool has_reached(const group_view& g, const server_view& server, const session_token& token) {
     const auto position = known_position(*g.positions, server.id, g.record.timeline);
-    return position && mark.term <= g.record.term && *position >= mark.position;
+    return position && token.term <= g.record.term && *position >= token.position;
 }
 
 // After a read the session stays with that server until it is known how far it saw.
-bool meets_monotonic(const server_view& server, const session_state& s) {
-    return !s.seen || s.seen->server == server.id;
+bool preserves_monotonic_reads(const server_view& server, const session_state& s) {
+    return !s.last_read || s.last_read->server == server.id;
 }
 
 } // namespace
 
-bool qualifies(const group_view& g, const server_view& server, const session_state& s, duration staleness,
+bool satisfies_consistency(const group_view& g, const server_view& server, const session_state& s, duration staleness,
                time_point now) {
     if (staleness <= duration{0}) {
-        return meets_monotonic(server, s) && s.floor && holds(g, server, *s.floor);
+        return preserves_monotonic_reads(server, s) && s.floor && has_reached(g, server, *s.floor);
     }
     // Read-your-writes holds beside a stated age: the age only frees the session from others' writes.
-    if (s.wrote && !holds(g, server, *s.wrote)) {
+    if (s.written && !has_reached(g, server, *s.written)) {
         return false;
     }
     const auto fresh = fresh_as_of(*g.positions, server.id, g.record.timeline);
     return fresh && now - *fresh <= staleness;
 }
 
-void use_load(server_view& server, const known_load& load) {
+void apply_load(server_view& server, const known_load& load) {
     server.load = load;
-    server.silent = false;
+    server.unresponsive = false;
     server.ejected_until = {};
-    server.ramp = 1.0;
+    server.slow_start_factor = 1.0;
 }
 
 routing_decision route_write(const group_view& g, bool lease_live) {
@@ -319,56 +319,56 @@
     // promise to the leaving one goes before service.
     const auto primary = std::find_if(g.servers.begin(), g.servers.end(),
                                       [&g](const server_view& s) { return s.id == g.record.primary; });
-    if (primary != g.servers.end() && primary->leave_is_over) {
+    if (primary != g.servers.end() && primary->leave_deadline_passed) {
         return refuse(result_code::server_left);
     }
     return to_server(g.record.primary, true);
 }
 
-duration longest_wait(result_code refusal, duration patience) {
-    return refusal == result_code::no_lease ? std::min(patience, lease_wait) : patience;
+duration max_wait_after(result_code refusal, duration wait_limit) {
+    return refusal == result_code::no_lease ? std::min(wait_limit, max_lease_wait) : wait_limit;
 }
 
-std::optional<log_position> demanded_position(const group_view& g, const session_state& s,
-                                              const read_wish& wish) {
-    const auto shared =
-        wish.staleness <= duration{0}
+std::optional<log_position> required_position(const group_view& g, const session_state& s,
+                                              const read_context& context) {
+    const auto common_position =
+        context.staleness <= duration{0}
             ? primary_position_since(*g.positions, g.record.term, s.arrived_at)
-            : oldest_primary_position_since(*g.positions, g.record.term, wish.asked_at - wish.staleness);
-    if (!shared) {
+            : oldest_primary_position_since(*g.positions, g.record.term, context.arrived_at - context.staleness);
+    if (!common_position) {
         return std::nullopt;
     }
-    const bool wrote_here = s.wrote && s.wrote->term == g.record.term;
-    return wrote_here ? std::max(*shared, s.wrote->position) : *shared;
+    const bool wrote_in_term = s.written && s.written->term == g.record.term;
+    return wrote_in_term ? std::max(*common_position, s.written->position) : *common_position;
 }
 
-routing_decision route_read(const group_view& g, const session_state& s, const read_wish& wish,
+routing_decision route_read(const group_view& g, const session_state& s, const read_context& context,
                             const routing_settings& settings, std::mt19937_64& random) {
     if (has_lost_write(s, g.record)) {
         return refuse(result_code::lost_write);
     }
     if (g.servers_enforce_floor) {
-        return route_with_floor(g, s, wish, settings, random);
+        return route_with_floor(g, s, context, settings, random);
     }
-    std::vector<const server_view*> fit;
+    std::vector<const server_view*> candidates;
     bool any_usable = false;
-    const bool primary_as_replica = !wish.lease_live && s.settings.mode == read_mode::read;
+    const bool allow_primary = !context.lease_live && s.settings.mode == read_mode::read;
     for (const server_view& server : g.servers) {
-        if (may_take_reads(g, server, primary_as_replica, wish.now) && !is_avoided(wish, server.id)) {
+        if (may_take_reads(g, server, allow_primary, context.now) && !is_excluded(context, server.id)) {
             any_usable = true;
-            if (qualifies(g, server, s, wish.staleness, wish.now)) {
-                fit.push_back(&server);
+            if (satisfies_consistency(g, server, s, context.staleness, context.now)) {
+                candidates.push_back(&server);
             }
         }
     }
-    if (!fit.empty()) {
-        return to_server(choose(fit, settings, random).id, false);
+    if (!candidates.empty()) {
+        return to_server(choose_server(candidates, settings, random).id, false);
     }
-    routing_decision primary = route_write(g, wish.lease_live);
-    const bool may_still_wait = any_usable && wish.now - wish.asked_at < settings.replica_wait;
+    routing_decision primary = route_write(g, context.lease_live);
+    const bool may_still_wait = any_usable && context.now - context.arrived_at < settings.replica_catchup_timeout;
     if (primary.kind == target_kind::refuse || may_still_wait) {
         // Without a primary a replica may yet catch up; the caller's deadline ends that.
-        return any_usable ? wait_until(wish.now + settings.position_wait) : primary;
+        return any_usable ? wait_until(context.now + settings.position_poll_interval) : primary;
     }
     return primary;
 }
--- a/src/core/routing.hpp
+++ b/src/core/routing.hpp
@@ -31,15 +31,15 @@
     server_id id;
     unsigned weight = 100;       // 0: takes no reads
     bool leaving = false;        // gets no new work, but as the primary
-    bool leave_is_over = false;  // nor as the primary: nothing may reach it any more
-    bool silent = false;         // its observers have not heard of it lately
-    bool near = false;           // in this daemon's failure domain
+    bool leave_deadline_passed = false;  // nor as the primary: nothing may reach it any more
+    bool unresponsive = false;         // its observers have not heard of it lately
+    bool same_domain = false;           // in this daemon's failure domain
     unsigned outstanding = 0;    // requests of this daemon running or waiting there
     duration latency{0};         // smoothed, of this daemon's requests; 0: unknown
     time_point ejected_until{};  // gets no reads before
-    double ramp = 1.0;           // 0..1, rises slowly after an ejection
+    double slow_start_factor = 1.0;           // 0..1, rises slowly after an ejection
     bool has_connections = true; // this daemon holds, or may open, a connection to it
-    time_point asked_at{};       // the last request of this daemon that went there
+    time_point last_request_at{};       // the last request of this daemon that went there
     std::optional<known_load>
         load{}; // where it is known, it counts in place of latency, outstanding and ramp
 };
@@ -54,17 +54,17 @@
 enum class target_kind : std::uint8_t {
     server,
     wait,        // for news, `retry_at` at the latest
-    ask_primary, // for its position: no known one is new enough to tell what a replica must hold
+    fetch_primary_position, // for its position: no known one is new enough to tell what a replica must hold
     refuse,
 };
 
 // What one read asks for beside what its session is owed.
-struct read_wish {
+struct read_context {
     duration staleness{0}; // 0: read-your-writes
-    time_point asked_at{}; // when the request came; waiting ends at replica_wait after it
+    time_point arrived_at{}; // when the request came; waiting ends at replica_catchup_timeout after it
     time_point now{};
     bool lease_live = false;
-    std::vector<server_id> avoid; // refused it just now
+    std::vector<server_id> excluded; // refused it just now
 };
 
 struct routing_decision {
@@ -78,26 +78,26 @@
 };
 
 struct routing_settings {
-    duration replica_wait = std::chrono::milliseconds{25};  // at most this long for a replica to catch up
-    duration position_wait = std::chrono::milliseconds{10}; // between two looks
+    duration replica_catchup_timeout = std::chrono::milliseconds{25};  // at most this long for a replica to catch up
+    duration position_poll_interval = std::chrono::milliseconds{10}; // between two looks
     // A lag heard so long ago says nothing any more, and the server is asked again: a refusal costs a round
     // trip.
-    duration position_trust = std::chrono::milliseconds{500};
+    duration position_max_age = std::chrono::milliseconds{500};
     // Where loads are told, one daemon's question tells all of them where a replica stands. So a share of the
     // reads asks one whose last known position is too low and a little old.
-    duration position_trial_age = std::chrono::milliseconds{25};
-    double position_trials = 0.1;
+    duration position_trial_min_age = std::chrono::milliseconds{25};
+    double position_trial_probability = 0.1;
     // A replica that nothing was sent to for so long gets a read whatever its last answers took.
     duration replica_trial_interval = std::chrono::seconds{1};
     // Times that a replica's expected delay must exceed the primary's before the primary takes a read over.
-    double primary_reluctance = 3.0;
-    double far_penalty = 2.0; // factor on the delay of another failure domain
+    double primary_delay_factor = 3.0;
+    double cross_domain_penalty = 2.0; // factor on the delay of another failure domain
     // A workspace's reads stay with one replica, where its connections are open, until another one is quicker
     // by this factor.
-    double workspace_loyalty = 2.0;
+    double workspace_affinity_factor = 2.0;
     // At most this share of the reads goes to a primary that is far better: all others see it idle as well.
-    double most_to_primary = 0.5;
-    double trials_of_failing = 0.05; // share of the reads that go to a replica which fails more than half
+    double max_primary_read_share = 0.5;
+    double failing_replica_trial_share = 0.05; // share of the reads that go to a replica which fails more than half
 };
 
 //-----------------------------------------------------------------------------
@@ -106,24 +106,24 @@
 
 // What all users of the server see counts, in place of what this daemon alone saw: it may have had bad luck,
 // or look at the server over a way that nobody needs.
-void use_load(server_view& server, const known_load& load);
+void apply_load(server_view& server, const known_load& load);
 
 routing_decision route_write(const group_view& g, bool lease_live);
 
-routing_decision route_read(const group_view& g, const session_state& s, const read_wish& wish,
+routing_decision route_read(const group_view& g, const session_state& s, const read_context& context,
                             const routing_settings& settings, std::mt19937_64& random);
 
 // The position that gives a session what it is owed, whichever server reads it; nothing where no known
 // position of the primary is new enough.
-std::optional<log_position> demanded_position(const group_view& g, const session_state& s,
-                                              const read_wish& wish);
+std::optional<log_position> required_position(const group_view& g, const session_state& s,
+                                              const read_context& context);
 
 // How long a request waits at most for what it was refused for to pass. Another instance may well have a
 // lease, so that is hardly waited for; a missing primary is missing everywhere.
-duration longest_wait(result_code refusal, duration patience);
+duration max_wait_after(result_code refusal, duration wait_limit);
 
 // True where this server provably gives the session what it is owed.
-bool qualifies(const group_view& g, const server_view& server, const session_state& s, duration staleness,
+bool satisfies_consistency(const group_view& g, const server_view& server, const session_state& s, duration staleness,
                time_point now);
 
 } // namespace larchpin
--- a/src/core/session.cpp
+++ b/src/core/session.cpp
@@ -8,12 +8,12 @@
 namespace {
 
 constexpr std::int64_t max_setting_ms = 3'600'000;
-constexpr std::size_t max_key_length = 200;
+constexpr std::size_t max_idempotency_key_length = 200;
 constexpr int hexadecimal = 16;
 // Of classes between instances; never changed, since instances of several versions talk to each other.
-constexpr std::uint32_t critical_number = 0;
-constexpr std::uint32_t normal_number = 1;
-constexpr std::uint32_t background_number = 2;
+constexpr std::uint32_t critical_wire_number = 0;
+constexpr std::uint32_t normal_wire_number = 1;
+constexpr std::uint32_t background_wire_number = 2;
 
 template <typename number> bool parse_number(std::string_view text, number& value, int base = 10) {
     const char* end = text.data() + text.size();
@@ -58,40 +58,40 @@
     return std::nullopt;
 }
 
-void raise(std::optional<session_token>& mark, const group_id& group, term_number term,
+void raise_token(std::optional<session_token>& token, const group_id& group, term_number term,
            log_position position) {
-    if (!mark || term > mark->term) {
-        mark = session_token{.group = group, .term = term, .position = position};
-    } else if (term == mark->term) {
-        mark->position = std::max(mark->position, position);
+    if (!token || term > token->term) {
+        token = session_token{.group = group, .term = term, .position = position};
+    } else if (term == token->term) {
+        token->position = std::max(token->position, position);
     }
 }
 
-void raise_known(session_state& s, term_number term, log_position position) {
-    raise(s.known, s.group, term, position);
-    raise(s.floor, s.group, term, position);
+void raise_observed(session_state& s, term_number term, log_position position) {
+    raise_token(s.observed, s.group, term, position);
+    raise_token(s.floor, s.group, term, position);
 }
 
-void raise_wrote(session_state& s, term_number term, log_position position) {
-    raise(s.wrote, s.group, term, position);
-    raise_known(s, term, position);
+void raise_written(session_state& s, term_number term, log_position position) {
+    raise_token(s.written, s.group, term, position);
+    raise_observed(s, term, position);
 }
 
 // Positions beyond the start of a later term mean nothing in it.
-void move_to_term(std::optional<session_token>& mark, const group_record& group) {
-    if (!mark || mark->term >= group.term) {
+void move_to_term(std::optional<session_token>& token, const group_record& group) {
+    if (!token || token->term >= group.term) {
         return;
     }
-    mark->position = std::min(mark->position, surviving_position(group, mark->term).value_or(0));
-    mark->term = group.term;
+    token->position = std::min(token->position, surviving_position(group, token->term).value_or(0));
+    token->term = group.term;
 }
 
 bool apply_token(session_state& s, const std::string& value) {
     if (value.empty()) {
         s.floor.reset();
-        s.known.reset();
-        s.wrote.reset();
-        s.seen.reset();
+        s.observed.reset();
+        s.written.reset();
+        s.last_read.reset();
         return true;
     }
     const auto token = parse_token(value);
@@ -99,7 +99,7 @@
         return false;
     }
     // A token never lowers what this session has seen itself.
-    raise_wrote(s, token->term, token->position);
+    raise_written(s, token->term, token->position);
     return true;
 }
 
@@ -129,9 +129,9 @@
     }
     session_token token;
     token.group.value = std::string(text.substr(0, middle));
-    const bool read = parse_number(text.substr(middle + 1, last - middle - 1), token.term) &&
+    const bool parsed = parse_number(text.substr(middle + 1, last - middle - 1), token.term) &&
                       parse_number(text.substr(last + 1), token.position, hexadecimal);
-    return read ? std::optional{token} : std::nullopt;
+    return parsed ? std::optional{token} : std::nullopt;
 }
 
 bool apply_setting(session_state& s, std::string_view name, const std::string& value) {
@@ -154,26 +154,26 @@
     }
     if (name == "idempotency_key") {
         s.settings.idempotency_key = value;
-        return value.size() <= max_key_length;
+        return value.size() <= max_idempotency_key_length;
     }
     return false;
 }
 
-told_class tell_class(request_class klass) {
+wire_class to_wire_class(request_class klass) {
     switch (klass) {
-    case request_class::urgent: return {.number = critical_number, .urgent = true};
-    case request_class::critical: return {.number = critical_number};
-    case request_class::normal: return {.number = normal_number};
+    case request_class::urgent: return {.number = critical_wire_number, .urgent = true};
+    case request_class::critical: return {.number = critical_wire_number};
+    case request_class::normal: return {.number = normal_wire_number};
     case request_class::background: break;
     }
-    return {.number = background_number};
+    return {.number = background_wire_number};
 }
 
-std::optional<request_class> read_class(const told_class& told) {
-    switch (told.number) {
-    case critical_number: return told.urgent ? request_class::urgent : request_class::critical;
-    case normal_number: return request_class::normal;
-    case background_number: return request_class::background;
+std::optional<request_class> from_wire_class(const wire_class& wire) {
+    switch (wire.number) {
+    case critical_wire_number: return wire.urgent ? request_class::urgent : request_class::critical;
+    case normal_wire_number: return request_class::normal;
+    case background_wire_number: return request_class::background;
     default: return std::nullopt;
     }
 }
@@ -190,62 +190,62 @@
 }
 
 void note_write(session_state& s, term_number term, log_position position) {
-    raise_wrote(s, term, position);
+    raise_written(s, term, position);
 }
 
 void note_read(session_state& s, const server_id& server, time_point finished_at) {
-    s.seen = seen_read{.server = server, .finished_at = finished_at};
+    s.last_read = unresolved_read{.server = server, .finished_at = finished_at};
 }
 
-void resolve_seen(session_state& s, const group_record& group, const group_positions& positions) {
+void apply_positions(session_state& s, const group_record& group, const group_positions& positions) {
     if (has_lost_write(s, group)) {
         return; // news of a later term must not cover up what was lost with an earlier one
     }
     adopt_term(s, group);
     if (!s.floor) {
-        const auto at_arrival = primary_position_since(positions, group.term, s.arrived_at);
-        if (at_arrival) {
-            raise(s.floor, s.group, group.term, *at_arrival);
+        const auto arrival_position = primary_position_since(positions, group.term, s.arrived_at);
+        if (arrival_position) {
+            raise_token(s.floor, s.group, group.term, *arrival_position);
         }
     }
-    if (!s.seen) {
+    if (!s.last_read) {
         return;
     }
-    const auto known = positions.servers.find(s.seen->server);
-    if (known == positions.servers.end() || known->second.newest.not_before < s.seen->finished_at) {
+    const auto sampled = positions.servers.find(s.last_read->server);
+    if (sampled == positions.servers.end() || sampled->second.newest.not_before < s.last_read->finished_at) {
         return;
     }
-    const position_sample& newest = known->second.newest;
+    const position_sample& newest = sampled->second.newest;
     if (newest.timeline == group.timeline) {
-        raise_known(s, group.term, newest.position);
+        raise_observed(s, group.term, newest.position);
     } else if (newest.timeline < group.timeline && !group.term_starts.empty()) {
         // The server has not followed a new primary yet: of what it showed, this much has survived.
-        raise(s.floor, s.group, group.term, std::min(newest.position, group.term_starts.back().position));
+        raise_token(s.floor, s.group, group.term, std::min(newest.position, group.term_starts.back().position));
     }
-    s.seen.reset();
+    s.last_read.reset();
 }
 
 bool has_lost_write(const session_state& s, const group_record& group) {
-    if (s.settings.forgives_lost_writes || !s.known || s.known->term >= group.term) {
+    if (s.settings.ignore_lost_writes || !s.observed || s.observed->term >= group.term) {
         return false;
     }
-    const auto kept = surviving_position(group, s.known->term);
-    return !kept || s.known->position > *kept;
+    const auto surviving = surviving_position(group, s.observed->term);
+    return !surviving || s.observed->position > *surviving;
 }
 
 void adopt_term(session_state& s, const group_record& group) {
     if (!has_lost_write(s, group)) {
-        move_to_term(s.known, group);
-        move_to_term(s.wrote, group);
+        move_to_term(s.observed, group);
+        move_to_term(s.written, group);
         move_to_term(s.floor, group);
     }
 }
 
-duration deadline_of(const session_state& s, const service_entry& service) {
+duration effective_deadline(const session_state& s, const service_entry& service) {
     return s.settings.deadline.value_or(service.deadline);
 }
 
-duration staleness_of(const session_state& s, const service_entry& service) {
+duration effective_max_staleness(const session_state& s, const service_entry& service) {
     return s.settings.max_staleness.value_or(service.max_staleness);
 }
 
--- a/src/core/session.hpp
+++ b/src/core/session.hpp
@@ -2,7 +2,7 @@
 //
 // Read-your-writes: `floor` is at or beyond every write of the session. Monotonic reads, for sessions that
 // state no age: after a read the session may have seen more than the floor says, so it stays with that server
-// until a sample of it, asked after the read, tells how far that was (see resolve_seen()). A session that
+// until a sample of it, asked after the read, tells how far that was (see apply_positions()). A session that
 // states an age is owed its own writes and that age, nothing more: it may go back within the age. Otherwise
 // one read on the primary would bind it to the primary for as long as it goes on reading.
 //
@@ -28,7 +28,7 @@
 //-----------------------------------------------------------------------------
 
 // In the order in which they go before each other. Other instances are told by numbers of their own
-// (told_class).
+// (wire_class).
 enum class request_class : std::uint8_t { urgent = 0, critical = 1, normal = 2, background = 3 };
 constexpr std::size_t request_class_count = 4;
 
@@ -45,7 +45,7 @@
     std::optional<duration> max_staleness;       // larchpin.max_staleness_ms, 0: read-your-writes
     std::optional<duration> deadline;            // larchpin.deadline_ms
     std::string idempotency_key;                 // larchpin.idempotency_key, used up by one request
-    bool forgives_lost_writes = false; // goes on after a failover that lost what it wrote; set by fronts
+    bool ignore_lost_writes = false; // goes on after a failover that lost what it wrote; set by fronts
     auto operator<=>(const session_settings&) const = default;
 };
 
@@ -56,10 +56,10 @@
     auto operator<=>(const session_token&) const = default;
 };
 
-struct seen_read {
+struct unresolved_read {
     server_id server;
     time_point finished_at{};
-    auto operator<=>(const seen_read&) const = default;
+    auto operator<=>(const unresolved_read&) const = default;
 };
 
 struct session_state {
@@ -69,9 +69,9 @@
     time_point arrived_at{};
     session_settings settings;
     std::optional<session_token> floor; // a read must show at least this; none: not known yet, see above
-    std::optional<session_token> known; // what it wrote, or may have read
-    std::optional<session_token> wrote; // what it wrote; the token that the caller gets
-    std::optional<seen_read> seen;      // a read whose position is not known yet
+    std::optional<session_token> observed; // what it wrote, or may have read
+    std::optional<session_token> written; // what it wrote; the token that the caller gets
+    std::optional<unresolved_read> last_read;      // a read whose position is not known yet
 };
 
 //-----------------------------------------------------------------------------
@@ -86,13 +86,13 @@
 
 // A class as other instances are told of it. Urgent has the number of critical and a flag beside it: an
 // instance that does not know the flag takes an urgent request for a critical one.
-struct told_class {
+struct wire_class {
     std::uint32_t number = 0;
     bool urgent = false; // beside the number; those that do not know it pass over it
-    auto operator<=>(const told_class&) const = default;
+    auto operator<=>(const wire_class&) const = default;
 };
-told_class tell_class(request_class klass);
-std::optional<request_class> read_class(const told_class& told); // nothing for an unknown number
+wire_class to_wire_class(request_class klass);
+std::optional<request_class> from_wire_class(const wire_class& wire); // nothing for an unknown number
 
 // Takes one "larchpin.*" setting; `name` without the prefix. False for an unknown name or a bad value.
 // "session" takes a token, or an empty text to forget what was seen.
@@ -106,7 +106,7 @@
 
 // Takes up what newer samples tell: the floor of a session that arrived without a token, and how far the
 // last read may have seen.
-void resolve_seen(session_state& s, const group_record& group, const group_positions& positions);
+void apply_positions(session_state& s, const group_record& group, const group_positions& positions);
 
 // A session that wrote, or may have read, beyond what a later term kept: that is lost. One that has merely
 // arrived has lost nothing, however far its floor was.
@@ -115,7 +115,7 @@
 // Moves the session into the group's current term once nothing of it was lost.
 void adopt_term(session_state& s, const group_record& group);
 
-duration deadline_of(const session_state& s, const service_entry& service);
-duration staleness_of(const session_state& s, const service_entry& service);
+duration effective_deadline(const session_state& s, const service_entry& service);
+duration effective_max_staleness(const session_state& s, const service_entry& service);
 
 } // namespace larchpin
--- a/src/core/session_context.cpp
+++ b/src/core/session_context.cpp
@@ -13,22 +13,22 @@
 
 } // namespace
 
-std::string shared_name(const prepared_statement& statement) {
+std::string shared_statement_name(const prepared_statement& statement) {
     return (statement.writes ? "w_" : "r_") + statement.shape;
 }
 
-std::vector<context_step> plan_context(const connection_context& held,
+std::vector<context_step> plan_context(const connection_context& current,
                                        const std::map<std::string, std::string>& values,
                                        const std::optional<prepared_statement>& statement) {
     std::vector<context_step> steps;
     // A single value cannot be unset, so a value too many costs a reset of everything.
-    const bool too_many = std::any_of(held.values.begin(), held.values.end(),
+    const bool needs_reset = std::any_of(current.values.begin(), current.values.end(),
                                       [&values](const auto& v) { return !values.contains(v.first); });
-    if (too_many) {
+    if (needs_reset) {
         steps.push_back({.kind = context_step_kind::reset, .name = {}, .value = {}, .statement = {}});
     }
     for (const auto& [name, value] : values) {
-        if (too_many || !is_set(held.values, name, value)) {
+        if (needs_reset || !is_set(current.values, name, value)) {
             steps.push_back(
                 {.kind = context_step_kind::set_value, .name = name, .value = value, .statement = {}});
         }
@@ -36,19 +36,19 @@
     if (!statement) {
         return steps;
     }
-    const std::string name = shared_name(*statement);
-    if (too_many || !held.prepared.contains(name)) {
+    const std::string name = shared_statement_name(*statement);
+    if (needs_reset || !current.prepared.contains(name)) {
         steps.push_back(
             {.kind = context_step_kind::prepare, .name = name, .value = {}, .statement = *statement});
     }
     return steps;
 }
 
-void apply_step(connection_context& held, const context_step& step) {
+void apply_step(connection_context& current, const context_step& step) {
     switch (step.kind) {
-    case context_step_kind::reset: held = connection_context{}; return;
-    case context_step_kind::set_value: held.values[step.name] = step.value; return;
-    case context_step_kind::prepare: held.prepared[step.name] = step.statement; return;
+    case context_step_kind::reset: current = connection_context{}; return;
+    case context_step_kind::set_value: current.values[step.name] = step.value; return;
+    case context_step_kind::prepare: current.prepared[step.name] = step.statement; return;
     }
 }
 
--- a/src/core/session_context.hpp
+++ b/src/core/session_context.hpp
@@ -41,13 +41,13 @@
 };
 
 // The name under which every connection prepares this statement.
-std::string shared_name(const prepared_statement& statement);
+std::string shared_statement_name(const prepared_statement& statement);
 
 // The fewest steps that put these values into effect, no others, and prepare the statement if there is one.
-std::vector<context_step> plan_context(const connection_context& held,
+std::vector<context_step> plan_context(const connection_context& current,
                                        const std::map<std::string, std::string>& values,
                                        const std::optional<prepared_statement>& statement);
 
-void apply_step(connection_context& held, const context_step& step);
+void apply_step(connection_context& current, const context_step& step);
 
 } // namespace larchpin
--- a/src/core/statement.cpp
+++ b/src/core/statement.cpp
@@ -11,7 +11,7 @@
     return std::isspace(static_cast<unsigned char>(c)) != 0;
 }
 
-bool is_word(char c) {
+bool is_word_char(char c) {
     return std::isalnum(static_cast<unsigned char>(c)) != 0 || c == '_' || c == '.';
 }
 
@@ -42,7 +42,7 @@
 
 std::string take_word(std::string_view& text) {
     text = skip_blank(text);
-    const auto* end = std::find_if_not(text.begin(), text.end(), is_word);
+    const auto* end = std::find_if_not(text.begin(), text.end(), is_word_char);
     const auto length = static_cast<std::size_t>(end - text.begin());
     std::string word = to_lower(text.substr(0, length));
     text.remove_prefix(length);
@@ -78,11 +78,11 @@
     return std::find(words.begin(), words.end(), word) != words.end();
 }
 
-constexpr auto read_words =
+constexpr auto read_keywords =
     std::to_array<std::string_view>({"select", "show", "values", "table", "explain", "with"});
-constexpr auto refused_words = std::to_array<std::string_view>(
+constexpr auto unsupported_words = std::to_array<std::string_view>(
     {"copy", "listen", "unlisten", "load", "prepare", "execute", "deallocate", "declare", "lock"});
-constexpr auto refused_fragments = std::to_array<std::string_view>(
+constexpr auto unsupported_fragments = std::to_array<std::string_view>(
     {"pg_advisory_lock", "pg_try_advisory_lock", "create temp", "create temporary", "into temp"});
 
 std::string_view trim(std::string_view text) {
@@ -119,13 +119,13 @@
         return skip_blank(text).empty() || skip_blank(text).front() == ';' ? statement_kind::empty
                                                                            : statement_kind::write;
     }
-    if (!refused_feature(text).empty()) {
-        return statement_kind::refused;
+    if (!unsupported_feature(text).empty()) {
+        return statement_kind::unsupported;
     }
     if (has_several_statements(text)) {
         return statement_kind::write;
     }
-    if (is_one_of(first, read_words)) {
+    if (is_one_of(first, read_keywords)) {
         return statement_kind::read_hint;
     }
     if (first == "begin" || first == "start") {
@@ -156,16 +156,16 @@
     return text.find('(') != std::string_view::npos;
 }
 
-std::string_view refused_feature(std::string_view text) {
+std::string_view unsupported_feature(std::string_view text) {
     std::string_view rest = text;
     const std::string first = take_word(rest);
     // "lock" and "declare" end with their transaction; the others outlive it.
-    const auto* word = std::find(refused_words.begin(), refused_words.end(), first);
-    if (word != refused_words.end() && first != "lock" && first != "declare") {
+    const auto* word = std::find(unsupported_words.begin(), unsupported_words.end(), first);
+    if (word != unsupported_words.end() && first != "lock" && first != "declare") {
         return *word;
     }
     const std::string lower = to_lower(text);
-    for (const std::string_view fragment : refused_fragments) {
+    for (const std::string_view fragment : unsupported_fragments) {
         if (lower.find(fragment) != std::string::npos) {
             return fragment;
         }
--- a/src/core/statement.hpp
+++ b/src/core/statement.hpp
@@ -20,7 +20,7 @@
     rollback,        // rollback, abort (but not "to savepoint")
     set_session,     // set or reset of a session setting
     discard,         // discard all
-    refused,         // needs a connection of its own; see refused_feature()
+    unsupported,         // needs a connection of its own; see unsupported_feature()
 };
 
 // Several statements in one text count as a write.
@@ -31,7 +31,7 @@
 bool may_call_functions(std::string_view text);
 
 // The name of the feature that cannot be carried over shared connections, or nothing.
-std::string_view refused_feature(std::string_view text);
+std::string_view unsupported_feature(std::string_view text);
 
 // The name and value of "set name = value", "set name to value" and "reset name" (empty value).
 struct setting_change {
--- a/src/daemon/agent.cpp
+++ b/src/daemon/agent.cpp
@@ -604,17 +604,17 @@
         s.id = server.id;
         s.weight = entry.weight;
         s.leaving = entry.leaving || server.leaving;
-        s.leave_is_over = is_leave_over(server.id);
-        s.silent = is_silent(server);
-        s.near = server.domain == config_.domain;
+        s.leave_deadline_passed = is_leave_over(server.id);
+        s.unresponsive = is_silent(server);
+        s.same_domain = server.domain == config_.domain;
         s.outstanding = health.outstanding;
         s.latency = expected_latency(health, at);
         s.ejected_until = health.ejected_until;
-        s.ramp = slow_start_factor(health, at);
+        s.slow_start_factor = slow_start_factor(health, at);
         const share_key key{.service = service, .server = server.id};
-        s.asked_at = health.last_request_at;
+        s.last_request_at = health.last_request_at;
         if (const auto load = load_of ? load_of(server.id) : std::nullopt) {
-            use_load(s, *load);
+            apply_load(s, *load);
         }
         s.has_connections = pools_.may_serve(key, lease) || (may_borrow_near && may_borrow_near(key));
         v.servers.push_back(s);
--- a/src/daemon/client_session.cpp
+++ b/src/daemon/client_session.cpp
@@ -590,10 +590,10 @@
     }
     switch (kind) {
     case statement_kind::empty: put_message(out_, 'I', ""); return local_answer::done;
-    case statement_kind::refused:
+    case statement_kind::unsupported:
         put_error(out_, {.code = result_code::unsupported,
                          .run = run_state::not_run,
-                         .detail = std::string(refused_feature(text))});
+                         .detail = std::string(unsupported_feature(text))});
         return local_answer::refused;
     case statement_kind::discard:
         settings_.clear();
@@ -645,10 +645,10 @@
 }
 
 void client_session::put_token() {
-    if (!path_->state.wrote) {
+    if (!path_->state.written) {
         return;
     }
-    const std::string token = format_token(*path_->state.wrote);
+    const std::string token = format_token(*path_->state.written);
     if (token != token_sent_) {
         token_sent_ = token;
         put_parameter(out_, "larchpin.session", token);
@@ -691,7 +691,7 @@
     r.looks_like_read = r.may_use_replica && !may_call_functions(request.text);
     r.one_statement = request.shape == request_shape::extended || semicolon == std::string::npos ||
                       semicolon + 1 == request.text.size();
-    r.timeout = deadline_of(state, path_->service);
+    r.timeout = effective_deadline(state, path_->service);
     if (!path_->in_transaction() && !r.may_use_replica) {
         r.idempotency_key.swap(state.settings.idempotency_key);
     }
--- a/src/daemon/loans.cpp
+++ b/src/daemon/loans.cpp
@@ -55,7 +55,7 @@
     m.set_server(terms.key.server.value);
     m.set_workspace(terms.workspace.value);
     m.set_any_workspace(terms.any_workspace);
-    const told_class klass = tell_class(terms.klass);
+    const wire_class klass = to_wire_class(terms.klass);
     m.set_klass(klass.number);
     m.set_urgent(klass.urgent);
     m.set_wait_us(to_us(terms.queue_until - now()));
@@ -561,7 +561,7 @@
     const bool unreachable = known && (turned_away || cluster_.is_unreachable(key.server));
     const bool cut_off = orders_statements() && !cluster_.has_lease() && !pools_.may_serve(key, false);
     const std::optional<request_class> klass =
-        read_class({.number = request.klass(), .urgent = request.urgent()});
+        from_wire_class({.number = request.klass(), .urgent = request.urgent()});
     if (stopping_ || unreachable || !known || cut_off || !klass) {
         const result_code code = stopping_     ? result_code::stopping
                                  : cut_off     ? result_code::no_lease
--- a/src/daemon/request_path.cpp
+++ b/src/daemon/request_path.cpp
@@ -172,19 +172,19 @@
     if (const service_entry* entry = find_service(cluster.current_table, state.service)) {
         service = *entry;
     }
-    resolve_seen(state, view.record, *view.positions);
+    apply_positions(state, view.record, *view.positions);
     if (has_lost_write(state, view.record)) {
         finish_with_error(result_code::lost_write, run_state::not_run);
         return;
     }
     adopt_term(state, view.record);
-    const duration staleness = staleness_of(state, service);
+    const duration staleness = effective_max_staleness(state, service);
     const bool lease = owner_.cluster.has_lease();
     if (r.what.may_use_replica && !state.floor && staleness <= duration{0}) {
         owner_.cluster.want_fresh_position(state.group, state.service);
     }
-    const read_wish wish{
-        .staleness = staleness, .asked_at = r.started_at, .now = at, .lease_live = lease, .avoid = r.avoid};
+    const read_context wish{
+        .staleness = staleness, .arrived_at = r.started_at, .now = at, .lease_live = lease, .excluded = r.avoid};
     take_decision(r.what.may_use_replica ? route_read(view, state, wish, {}, owner_.random)
                                          : route_write(view, lease),
                   view, at);
@@ -205,7 +205,7 @@
         queue();
         return;
     case target_kind::wait: wait_for_news(decision.retry_at); return;
-    case target_kind::ask_primary:
+    case target_kind::fetch_primary_position:
         // Without a fresh position nothing can be said of any replica.
         r.last_refusal = result_code::no_replica;
         if (at - r.started_at >= sample_wait) {
@@ -242,7 +242,7 @@
     const caller_request& what = active_->what;
     const bool stated = what.patience > duration{0};
     const duration patience =
-        stated ? longest_wait(active_->last_refusal, what.patience) : duration{failover_wait};
+        stated ? max_wait_after(active_->last_refusal, what.patience) : duration{failover_wait};
     return std::min(active_->started_at + patience, active_->deadline);
 }
 
@@ -532,11 +532,11 @@
 void request_path::report(request_result result) {
     result.transaction_lost = lost_transaction_;
     lost_transaction_ = false;
-    if (state.wrote) {
+    if (state.written) {
         const auto group = owner_.cluster.cluster().groups.find(state.group);
         const std::uint64_t timeline =
             group == owner_.cluster.cluster().groups.end() ? 0 : group->second.timeline;
-        result.position = log_mark{.timeline = timeline, .position = state.wrote->position};
+        result.position = log_mark{.timeline = timeline, .position = state.written->position};
     }
     log_end(result);
     end_count();
--- a/tests/balance_test.cpp
+++ b/tests/balance_test.cpp
@@ -65,10 +65,10 @@
         view_.positions = &positions_;
         view_.servers_enforce_floor = true;
         session_.group = {"g"};
-        view_.servers.push_back({.id = {"p"}, .near = true});
+        view_.servers.push_back({.id = {"p"}, .same_domain = true});
         for (std::size_t i = 0; i < replicas.size(); ++i) {
             servers_.push_back({.id = {"r" + std::to_string(i)}, .behavior = std::move(replicas[i])});
-            view_.servers.push_back({.id = servers_.back().id, .near = true});
+            view_.servers.push_back({.id = servers_.back().id, .same_domain = true});
         }
     }
 
@@ -165,8 +165,8 @@
             }
             view_.servers[i + 1].load = find_load(book, servers_[i].id, now_);
         }
-        const read_wish wish{
-            .staleness = seconds{1}, .asked_at = now_, .now = now_, .lease_live = true, .avoid = {}};
+        const read_context wish{
+            .staleness = seconds{1}, .arrived_at = now_, .now = now_, .lease_live = true, .excluded = {}};
         const routing_decision d = route_read(view_, session_, wish, {}, random_);
         for (simulated_server& s : servers_) {
             if (s.id == d.server) {
@@ -195,7 +195,7 @@
     group_positions positions;
     group_view view;
     session_state session;
-    read_wish wish;
+    read_context wish;
     std::mt19937_64 random{1};
 
     routed_group() {
@@ -204,13 +204,13 @@
         view.servers_enforce_floor = true;
         session.group = {"g"};
         wish.now = start;
-        wish.asked_at = start;
+        wish.arrived_at = start;
         wish.staleness = seconds{1};
         wish.lease_live = true;
         add_primary_sample(positions, 1, {.not_before = start, .timeline = 1, .position = 10});
         for (const char* id : {"p", "a", "b"}) {
             view.servers.push_back(
-                {.id = {id}, .near = true, .latency = milliseconds{20}, .asked_at = start});
+                {.id = {id}, .same_domain = true, .latency = milliseconds{20}, .last_request_at = start});
             add_server_sample(positions, {id}, {.not_before = start, .timeline = 1, .position = 10}, start);
         }
     }
@@ -275,7 +275,7 @@
 
 TEST(uneven_servers, a_far_idle_one_takes_over_from_a_near_one_with_a_queue_and_only_then) {
     routed_group g;
-    g.server("b").near = false;
+    g.server("b").same_domain = false;
     g.set_load("a", {.response_time = milliseconds{20}});
     g.set_load("b", {.response_time = milliseconds{20}}, milliseconds{6});
     EXPECT_EQ(g.share("a"), 1.0) << "nothing crosses a border for nothing";
@@ -340,10 +340,10 @@
 TEST(bad_servers, one_that_answers_well_stays_whatever_its_health_answers_say) {
     routed_group g;
     server_view& a = g.server("a");
-    a.silent = true;
+    a.unresponsive = true;
     a.ejected_until = start + seconds{8};
-    a.ramp = 0.1;
-    use_load(a, {.load = {.server = {"a"}, .response_time = milliseconds{20}, .as_of = start}});
+    a.slow_start_factor = 0.1;
+    apply_load(a, {.load = {.server = {"a"}, .response_time = milliseconds{20}, .as_of = start}});
     g.set_load("b", {.response_time = milliseconds{20}});
     EXPECT_GT(g.share("a"), 0.4);
 }
@@ -403,8 +403,8 @@
     g.server("a").latency = milliseconds{400};
     g.server("b").latency = milliseconds{400};
     EXPECT_EQ(g.share("p"), 1.0);
-    g.server("a").asked_at = start - seconds{2};
-    g.server("b").asked_at = start - seconds{2};
+    g.server("a").last_request_at = start - seconds{2};
+    g.server("b").last_request_at = start - seconds{2};
     EXPECT_EQ(g.share("p"), 0.0);
 }
 
@@ -434,7 +434,7 @@
     }
     const position_sample old{.not_before = start + seconds{2}, .timeline = 1, .position = 20};
     const time_point now = start + seconds{3};
-    const duration trust = routing_settings{}.position_trust;
+    const duration trust = routing_settings{}.position_max_age;
     add_server_sample(p, {"a"}, old, start + seconds{2});
     EXPECT_FALSE(likely_has_position(p, {"a"}, 1, 290, start + milliseconds{2100}, trust));
     for (int i = 0; i < 10; ++i) {
@@ -467,7 +467,7 @@
         g.set_load("p", {.running = 4, .waiting = 4, .response_time = milliseconds{20}, .queue_delay = milliseconds{20}});
         add_primary_sample(g.positions, 1,
                            {.not_before = start + milliseconds{1}, .timeline = 1, .position = 20});
-        g.session.wrote = session_token{.group = {"g"}, .term = 1, .position = 20};
+        g.session.written = session_token{.group = {"g"}, .term = 1, .position = 20};
         for (const char* id : {"a", "b"}) { // far behind: it has been so for long
             g.set_load(id, {.response_time = milliseconds{20}});
             g.positions.servers[{id}].lag = seconds{10};
@@ -476,7 +476,7 @@
         int vain = 0;
         for (; at < seconds{1}; at += milliseconds{1}) {
             g.wish.now = start + at;
-            g.wish.asked_at = g.wish.now;
+            g.wish.arrived_at = g.wish.now;
             const bool caught_up = at >= milliseconds{200};
             if (std::uniform_real_distribution<double>(0, 1)(g.random) >= 0.4) {
                 continue;
@@ -527,7 +527,7 @@
     routed_group g;
     g.server("b").latency = milliseconds{40};
     EXPECT_GT(g.share("a"), 0.7);
-    g.server("a").near = false;
+    g.server("a").same_domain = false;
     EXPECT_GT(g.share("b"), 0.9) << "the other failure domain counts twice";
 }
 
--- a/tests/core_test.cpp
+++ b/tests/core_test.cpp
@@ -137,26 +137,26 @@
     explicit pool_model(std::uint64_t seed) : random_(seed) { p_.max_waiting = 20; }
 
     void step() {
-        now_ += std::chrono::milliseconds{number(5)};
+        now_ += std::chrono::milliseconds{random_int(5)};
         pool_actions actions;
-        const int what = number(10);
+        const int what = random_int(10);
         if (what == 10 && !busy_.empty()) {
             const connection_number c = busy_.begin()->first;
             if (p_.idle_in_transaction.contains(c)) {
                 statement_started(p_, c);
             } else {
-                const statement_end end{.took = std::chrono::milliseconds{number(100)},
-                                        .overloaded = number(3) == 0,
-                                        .in_transaction = number(1) == 0};
+                const statement_end end{.took = std::chrono::milliseconds{random_int(100)},
+                                        .overloaded = random_int(3) == 0,
+                                        .in_transaction = random_int(1) == 0};
                 statement_ended(p_, c, end, now_, next_connection_, actions);
             }
         } else if (what < 4) {
-            const auto klass = static_cast<request_class>(number(3));
+            const auto klass = static_cast<request_class>(random_int(3));
             const request_number id = next_request_++;
             open_requests_[id] = klass;
             request_connection(
                 p_,
-                {.request = id, .klass = klass, .deadline = now_ + std::chrono::milliseconds{number(200)}},
+                {.request = id, .klass = klass, .deadline = now_ + std::chrono::milliseconds{random_int(200)}},
                 now_, next_connection_, actions);
         } else if (what == 4 && !opening_.empty()) {
             const connection_number c = *opening_.begin();
@@ -165,7 +165,7 @@
         } else if (what == 5 && !opening_.empty()) {
             const connection_number c = *opening_.begin();
             opening_.erase(c);
-            if (number(1) == 0) {
+            if (random_int(1) == 0) {
                 connection_failed(p_, c, now_, next_connection_, actions);
             } else {
                 connection_limit_reached(p_, c, now_, next_connection_, actions);
@@ -173,26 +173,26 @@
         } else if (what == 6 && !busy_.empty()) {
             const connection_number c = busy_.begin()->first;
             busy_.erase(c);
-            release_connection(p_, c, number(4) > 0, std::chrono::milliseconds{2}, now_, next_connection_,
+            release_connection(p_, c, random_int(4) > 0, std::chrono::milliseconds{2}, now_, next_connection_,
                                actions);
         } else if (what == 7) {
-            share_ = static_cast<unsigned>(number(8));
+            share_ = static_cast<unsigned>(random_int(8));
             set_share(p_, share_, now_, next_connection_, actions);
-        } else if (what == 8 && number(9) == 0) {
-            share_ = static_cast<unsigned>(number(2));
+        } else if (what == 8 && random_int(9) == 0) {
+            share_ = static_cast<unsigned>(random_int(2));
             revoke_share(p_, share_, now_, next_connection_, actions);
             RC_ASSERT(open_count(p_) <= std::max(share_, 0U));
         } else {
             expire_waiters(p_, now_, next_connection_, actions);
         }
-        carry_out(actions);
-        check();
+        execute_actions(actions);
+        check_invariants();
     }
 
 private:
-    int number(int highest) { return std::uniform_int_distribution<int>(0, highest)(random_); }
+    int random_int(int highest) { return std::uniform_int_distribution<int>(0, highest)(random_); }
 
-    void carry_out(const pool_actions& actions) {
+    void execute_actions(const pool_actions& actions) {
         for (const pool_action& a : actions) {
             if (const auto* opened = std::get_if<open_connection>(&a)) {
                 opening_.insert(opened->connection);
@@ -209,7 +209,7 @@
         }
     }
 
-    void check() const {
+    void check_invariants() const {
         RC_ASSERT(p_.busy.size() == busy_.size());
         RC_ASSERT(waiting_count(p_) == open_requests_.size());
         const auto running = static_cast<unsigned>(p_.busy.size() - p_.idle_in_transaction.size());
@@ -523,7 +523,7 @@
 
 constexpr duration leave_time = std::chrono::seconds{7};
 
-cluster_state with_server(bool leaving) {
+cluster_state state_with_server(bool leaving) {
     cluster_state s;
     server_record server;
     server.id = {"s1"};
@@ -538,8 +538,8 @@
     note_current(t, 4, start);
     note_current(t, 4, start + std::chrono::seconds{1});
     note_current(t, 6, start + std::chrono::seconds{2}); // control had agreed by then: it was revision 5
-    EXPECT_EQ(follow_leaving(t, with_server(true), 5), std::vector<server_id>{{"s1"}});
-    EXPECT_TRUE(follow_leaving(t, with_server(true), 7).empty()) << "learned once";
+    EXPECT_EQ(follow_leaving(t, state_with_server(true), 5), std::vector<server_id>{{"s1"}});
+    EXPECT_TRUE(follow_leaving(t, state_with_server(true), 7).empty()) << "learned once";
     const time_point end = start + std::chrono::seconds{1} + leave_time - leave_slack;
     EXPECT_FALSE(is_leave_over(t, {"s1"}, leave_time, end - duration{1}));
     EXPECT_TRUE(is_leave_over(t, {"s1"}, leave_time, end));
@@ -548,9 +548,9 @@
 
 TEST(leave_times, are_over_where_nothing_tells_when_they_began) {
     leave_times t;
-    follow_leaving(t, with_server(true), 1); // an instance that has just started
+    follow_leaving(t, state_with_server(true), 1); // an instance that has just started
     EXPECT_TRUE(is_leave_over(t, {"s1"}, leave_time, std::chrono::seconds{1}));
-    follow_leaving(t, with_server(false), 2);
+    follow_leaving(t, state_with_server(false), 2);
     EXPECT_FALSE(is_leave_over(t, {"s1"}, leave_time, std::chrono::seconds{1}))
         << "the record is another one";
 }
@@ -589,7 +589,7 @@
         const bool by_whole_state = *rc::gen::arbitrary<bool>();
         const auto first_new =
             by_whole_state ? *rc::gen::inRange<revision_number>(1, agreed_as + 1) : agreed_as;
-        follow_leaving(t, with_server(true), first_new);
+        follow_leaving(t, state_with_server(true), first_new);
         RC_ASSERT(is_leave_over(t, {"s1"}, leave_time, agreed_at + leave_time - leave_slack));
     }));
 }
@@ -611,8 +611,8 @@
     EXPECT_EQ(classify_statement(""), statement_kind::empty);
     EXPECT_EQ(classify_statement("set transaction read only"), statement_kind::write);
     EXPECT_EQ(classify_statement("set a.b = 'c'"), statement_kind::set_session);
-    EXPECT_EQ(classify_statement("COPY t FROM STDIN"), statement_kind::refused);
-    EXPECT_EQ(classify_statement("select pg_advisory_lock(1)"), statement_kind::refused);
+    EXPECT_EQ(classify_statement("COPY t FROM STDIN"), statement_kind::unsupported);
+    EXPECT_EQ(classify_statement("select pg_advisory_lock(1)"), statement_kind::unsupported);
 }
 
 TEST(statement, a_read_without_parentheses_calls_nothing) {
@@ -632,7 +632,7 @@
     EXPECT_TRUE(rc::check([](const std::string& text) {
         classify_statement(text);
         parse_setting(text);
-        refused_feature(text);
+        unsupported_feature(text);
     }));
 }
 
--- a/tests/request_queue_test.cpp
+++ b/tests/request_queue_test.cpp
@@ -220,15 +220,15 @@
 
 // Instances of two versions talk to each other while one replaces the other.
 TEST(classes, are_told_so_that_an_older_instance_understands) {
-    EXPECT_EQ(tell_class(request_class::critical), (told_class{.number = 0}));
-    EXPECT_EQ(tell_class(request_class::normal), (told_class{.number = 1}));
-    EXPECT_EQ(tell_class(request_class::background), (told_class{.number = 2}));
-    EXPECT_EQ(tell_class(request_class::urgent).number, 0U) << "critical, for those that know no better";
-    EXPECT_EQ(read_class({.number = 0}), request_class::critical) << "as an older instance tells it";
-    EXPECT_EQ(read_class({.number = 3}), std::nullopt);
+    EXPECT_EQ(to_wire_class(request_class::critical), (wire_class{.number = 0}));
+    EXPECT_EQ(to_wire_class(request_class::normal), (wire_class{.number = 1}));
+    EXPECT_EQ(to_wire_class(request_class::background), (wire_class{.number = 2}));
+    EXPECT_EQ(to_wire_class(request_class::urgent).number, 0U) << "critical, for those that know no better";
+    EXPECT_EQ(from_wire_class({.number = 0}), request_class::critical) << "as an older instance tells it";
+    EXPECT_EQ(from_wire_class({.number = 3}), std::nullopt);
     for (const request_class c :
          {request_class::urgent, request_class::critical, request_class::normal, request_class::background}) {
-        EXPECT_EQ(read_class(tell_class(c)), c);
+        EXPECT_EQ(from_wire_class(to_wire_class(c)), c);
     }
 }
 
--- a/tests/routing_test.cpp
+++ b/tests/routing_test.cpp
@@ -19,14 +19,14 @@
 constexpr time_point start = std::chrono::seconds{100};
 
 // A primary "p" that has gained one position every 10 ms since `start`, and replicas "a" and "b".
-struct routed_group {
+struct routing_fixture {
     group_positions positions;
     group_view view;
     session_state session;
-    read_wish wish;
+    read_context context;
     std::mt19937_64 random{1};
 
-    routed_group() {
+    routing_fixture() {
         view.record = {.id = {"g"}, .term = 1, .primary = {"p"}, .timeline = 1, .term_starts = {{.term = 1}}};
         view.positions = &positions;
         view.servers_enforce_floor = true;
@@ -39,19 +39,19 @@
                                 .timeline = 1,
                                 .position = static_cast<log_position>(i)});
         }
-        wish.now = start + milliseconds{3000};
-        wish.asked_at = wish.now;
-        wish.staleness = milliseconds{1500};
-        wish.lease_live = true;
+        context.now = start + milliseconds{3000};
+        context.arrived_at = context.now;
+        context.staleness = milliseconds{1500};
+        context.lease_live = true;
         session.group = {"g"};
     }
 
-    void hear(const std::string& id, log_position position) {
-        add_server_sample(positions, {id}, {.not_before = wish.now, .timeline = 1, .position = position},
-                          wish.now);
+    void add_replica_sample(const std::string& id, log_position position) {
+        add_server_sample(positions, {id}, {.not_before = context.now, .timeline = 1, .position = position},
+                          context.now);
     }
 
-    routing_decision decide() { return route_read(view, session, wish, {}, random); }
+    routing_decision route() { return route_read(view, session, context, {}, random); }
 };
 
 //-----------------------------------------------------------------------------
@@ -59,48 +59,48 @@
 //-----------------------------------------------------------------------------
 
 TEST(floor, is_the_lowest_position_that_gives_the_stated_age) {
-    routed_group g;
-    EXPECT_EQ(demanded_position(g.view, g.session, g.wish), 150U);
-    g.session.wrote = session_token{.group = {"g"}, .term = 1, .position = 290};
-    EXPECT_EQ(demanded_position(g.view, g.session, g.wish), 290U) << "and the session's own writes";
+    routing_fixture g;
+    EXPECT_EQ(required_position(g.view, g.session, g.context), 150U);
+    g.session.written = session_token{.group = {"g"}, .term = 1, .position = 290};
+    EXPECT_EQ(required_position(g.view, g.session, g.context), 290U) << "and the session's own writes";
 }
 
 TEST(floor, without_a_position_that_is_new_enough_the_primary_is_asked) {
-    routed_group g;
-    g.wish.now += std::chrono::seconds{2};
-    g.wish.asked_at = g.wish.now;
-    EXPECT_EQ(g.decide().kind, target_kind::ask_primary);
-    g.wish.lease_live = false;
-    EXPECT_EQ(g.decide().kind, target_kind::refuse) << "nobody knows whether it still is the primary";
+    routing_fixture g;
+    g.context.now += std::chrono::seconds{2};
+    g.context.arrived_at = g.context.now;
+    EXPECT_EQ(g.route().kind, target_kind::fetch_primary_position);
+    g.context.lease_live = false;
+    EXPECT_EQ(g.route().kind, target_kind::refuse) << "nobody knows whether it still is the primary";
 }
 
 TEST(floor, covers_every_write_that_is_older_than_the_stated_age) {
     EXPECT_TRUE(rc::check([](std::uint16_t staleness, std::uint16_t later) {
-        routed_group g;
-        g.wish.staleness = milliseconds{staleness % 3000 + 1};
-        g.wish.now += milliseconds{later % 500};
-        g.wish.asked_at = g.wish.now;
-        const auto floor = demanded_position(g.view, g.session, g.wish);
+        routing_fixture g;
+        g.context.staleness = milliseconds{staleness % 3000 + 1};
+        g.context.now += milliseconds{later % 500};
+        g.context.arrived_at = g.context.now;
+        const auto floor = required_position(g.view, g.session, g.context);
         // Position i was reached at 10 * i ms; it is owed once it is older than the age.
-        const auto owed = (g.wish.now - g.wish.staleness - start) / milliseconds{10};
+        const auto owed = (g.context.now - g.context.staleness - start) / milliseconds{10};
         RC_ASSERT(!floor || static_cast<std::int64_t>(*floor) >= std::min<std::int64_t>(owed, 299));
     }));
 }
 
 TEST(leaving, a_primary_serves_until_its_time_is_over_and_is_then_named_in_the_refusal) {
-    routed_group g;
+    routing_fixture g;
     g.view.servers[0].leaving = true;
     EXPECT_EQ(route_write(g.view, true).kind, target_kind::server) << "nobody has taken over yet";
-    g.view.servers[0].leave_is_over = true;
+    g.view.servers[0].leave_deadline_passed = true;
     EXPECT_EQ(route_write(g.view, true).code, result_code::server_left);
-    g.hear("a", 299);
-    g.hear("b", 299);
+    g.add_replica_sample("a", 299);
+    g.add_replica_sample("b", 299);
     for (int i = 0; i < 20; ++i) {
-        EXPECT_NE(g.decide().server, server_id{"p"});
+        EXPECT_NE(g.route().server, server_id{"p"});
     }
     g.view.servers[1].leaving = true;
     g.view.servers[2].leaving = true;
-    EXPECT_EQ(g.decide().code, result_code::server_left);
+    EXPECT_EQ(g.route().code, result_code::server_left);
 }
 
 //-----------------------------------------------------------------------------
@@ -108,66 +108,66 @@
 //-----------------------------------------------------------------------------
 
 TEST(choice, a_replica_that_lags_too_far_is_not_asked) {
-    routed_group g;
-    g.hear("a", 20);
-    g.hear("b", 200);
+    routing_fixture g;
+    g.add_replica_sample("a", 20);
+    g.add_replica_sample("b", 200);
     for (int i = 0; i < 20; ++i) {
-        const routing_decision d = g.decide();
+        const routing_decision d = g.route();
         EXPECT_EQ(d.server, server_id{"b"});
         EXPECT_EQ(d.floor, 150U);
     }
 }
 
 TEST(choice, where_no_replica_is_likely_to_do_the_primary_reads) {
-    routed_group g;
-    g.hear("a", 20);
-    g.hear("b", 20);
-    EXPECT_EQ(g.decide().server, server_id{"p"});
-    EXPECT_TRUE(g.decide().is_primary);
+    routing_fixture g;
+    g.add_replica_sample("a", 20);
+    g.add_replica_sample("b", 20);
+    EXPECT_EQ(g.route().server, server_id{"p"});
+    EXPECT_TRUE(g.route().is_primary);
 }
 
 TEST(choice, a_replica_is_asked_again_once_what_was_heard_of_it_is_old) {
-    routed_group g;
-    g.hear("a", 20);
-    g.hear("b", 20);
-    g.wish.now += routing_settings{}.position_trust + milliseconds{1};
-    g.wish.asked_at = g.wish.now;
-    EXPECT_FALSE(g.decide().is_primary);
+    routing_fixture g;
+    g.add_replica_sample("a", 20);
+    g.add_replica_sample("b", 20);
+    g.context.now += routing_settings{}.position_max_age + milliseconds{1};
+    g.context.arrived_at = g.context.now;
+    EXPECT_FALSE(g.route().is_primary);
 }
 
 TEST(choice, an_idle_primary_takes_reads_over_from_replicas_that_are_crowded) {
-    routed_group g;
-    EXPECT_FALSE(g.decide().is_primary);
+    routing_fixture g;
+    EXPECT_FALSE(g.route().is_primary);
     g.view.servers[1].outstanding = 12;
     g.view.servers[2].outstanding = 12;
-    EXPECT_TRUE(g.decide().is_primary);
+    EXPECT_TRUE(g.route().is_primary);
     g.view.servers[0].outstanding = 6;
-    EXPECT_FALSE(g.decide().is_primary) << "it has its own work";
+    EXPECT_FALSE(g.route().is_primary) << "it has its own work";
     g.view.servers[0].outstanding = 0;
-    g.wish.lease_live = false;
-    EXPECT_FALSE(g.decide().is_primary);
+    g.context.lease_live = false;
+    EXPECT_FALSE(g.route().is_primary);
 }
 
 TEST(choice, what_another_instance_may_know_better_is_not_waited_for_long) {
     const duration patience = milliseconds{250};
-    EXPECT_EQ(longest_wait(result_code::no_primary, patience), patience) << "all instances wait for the same";
-    EXPECT_LT(longest_wait(result_code::no_lease, patience), patience / 4);
-    EXPECT_LE(longest_wait(result_code::no_lease, milliseconds{10}), milliseconds{10});
+    EXPECT_EQ(max_wait_after(result_code::no_primary, patience), patience) << "all instances wait for the same";
+    EXPECT_LT(max_wait_after(result_code::no_lease, patience), patience / 4);
+    EXPECT_LE(max_wait_after(result_code::no_lease, milliseconds{10}), milliseconds{10});
 }
 
 // Many workspaces, each of which asks seldom: a read that went to either replica would find a connection of
 // its workspace half as often.
 TEST(choice, of_a_workspaces_replica_is_the_same_as_long_as_it_is_not_clearly_slower) {
-    routed_group g;
-    g.hear("a", 290);
-    g.hear("b", 290);
+    routing_fixture g;
+    g.add_replica_sample("a", 290);
+    g.add_replica_sample("b", 290);
     std::map<server_id, int> firsts;
     for (int w = 0; w < 100; ++w) {
         g.session.workspace = {"w" + std::to_string(w)};
-        const server_id first = g.decide().server;
+        const server_id first = g.route().server;
         ++firsts[first];
         for (int i = 0; i < 10; ++i) {
-            EXPECT_EQ(g.decide().server, first);
+            EXPECT_EQ(g.route().server, first);
         }
     }
     EXPECT_GT(firsts[{"a"}], 30);
@@ -177,7 +177,7 @@
     }
     for (int w = 0; w < 100; ++w) {
         g.session.workspace = {"w" + std::to_string(w)};
-        EXPECT_NE(g.decide().server.value, "a") << "five times as slow";
+        EXPECT_NE(g.route().server.value, "a") << "five times as slow";
     }
 }
 
--- a/tests/session_fuzz_test.cpp
+++ b/tests/session_fuzz_test.cpp
@@ -16,13 +16,13 @@
 constexpr int steps = 3000;
 constexpr std::size_t server_count = 3;
 
-struct broken_rules {
+struct injected_faults {
     bool ignore_floor = false;       // sessions forget what they wrote
-    bool ignore_seen = false;        // and what they read
-    bool old_primary_counts = false; // samples of a replaced primary are taken in
+    bool ignore_last_read = false;        // and what they read
+    bool accept_old_primary_samples = false; // samples of a replaced primary are taken in
 };
 
-struct acknowledged {
+struct acknowledged_write {
     time_point at{};
     log_position position = 0;
 };
@@ -37,16 +37,16 @@
 struct model_session {
     session_state state;
     duration staleness{0};
-    log_position must_see = 0; // of the current term's history
+    log_position required_position = 0; // of the current term's history
     log_position written = 0;  // by itself
-    bool lost = false;         // a part of what it saw is gone
-    bool lost_write = false;   // a part of what it wrote is gone
+    bool lost_observed = false;         // a part of what it saw is gone
+    bool lost_written = false;   // a part of what it wrote is gone
     bool idle = true;          // has neither read nor written
 };
 
 class history_model {
 public:
-    history_model(std::uint64_t seed, const broken_rules& broken) : random_(seed), broken_(broken) {
+    history_model(std::uint64_t seed, const injected_faults& broken) : random_(seed), faults_(broken) {
         for (std::size_t i = 0; i < server_count; ++i) {
             servers_.push_back({.id = {"s" + std::to_string(i)}, .position = 100, .timeline = 1});
         }
@@ -67,19 +67,19 @@
 
     std::uint64_t on_replica = 0;
     std::uint64_t on_primary = 0;
-    std::uint64_t told_lost = 0;
+    std::uint64_t lost_write_reports = 0;
 
 private:
-    int number(int highest) { return std::uniform_int_distribution<int>(0, highest)(random_); }
+    int random_int(int highest) { return std::uniform_int_distribution<int>(0, highest)(random_); }
     bool chance(double p) { return std::uniform_real_distribution<double>(0, 1)(random_) < p; }
 
     model_session make_session() {
         model_session s;
         s.state.group = {"g"};
         s.state.arrived_at = now_;
-        s.staleness = chance(0.5) ? duration{0} : duration{std::chrono::milliseconds{50 + number(400)}};
+        s.staleness = chance(0.5) ? duration{0} : duration{std::chrono::milliseconds{50 + random_int(400)}};
         // Everything acknowledged before it arrived is owed to a session that states no age.
-        s.must_see = s.staleness > duration{0} || acks_.empty() ? 0 : acks_.back().position;
+        s.required_position = s.staleness > duration{0} || acks_.empty() ? 0 : acks_.back().position;
         return s;
     }
 
@@ -89,7 +89,7 @@
     }
 
     void step() {
-        now_ += std::chrono::milliseconds{1 + number(9)};
+        now_ += std::chrono::milliseconds{1 + random_int(9)};
         while (!queue_.empty() && queue_.begin()->first <= now_) {
             const auto what = queue_.begin()->second;
             queue_.erase(queue_.begin());
@@ -97,12 +97,12 @@
         }
         replicate();
         if (chance(0.4)) {
-            sample(servers_[static_cast<std::size_t>(number(server_count - 1))]);
+            sample(servers_[static_cast<std::size_t>(random_int(server_count - 1))]);
         }
         model_session& s =
-            sessions_[static_cast<std::size_t>(number(static_cast<int>(sessions_.size()) - 1))];
+            sessions_[static_cast<std::size_t>(random_int(static_cast<int>(sessions_.size()) - 1))];
         if (chance(0.02)) {
-            move(s);
+            reconnect(s);
         } else if (chance(0.3)) {
             write(s);
         } else {
@@ -126,7 +126,7 @@
                 continue;
             }
             if (chance(0.5)) {
-                s.position = std::min(primary().position, s.position + static_cast<log_position>(number(12)));
+                s.position = std::min(primary().position, s.position + static_cast<log_position>(random_int(12)));
             }
         }
     }
@@ -134,15 +134,15 @@
     // Asked now, read a little later, known later still.
     void sample(const model_server& asked) {
         const server_id id = asked.id;
-        queue_.emplace(now_ + std::chrono::milliseconds{number(5)}, [this, id, asked_at = now_] {
+        queue_.emplace(now_ + std::chrono::milliseconds{random_int(5)}, [this, id, asked_at = now_] {
             const auto s =
                 std::find_if(servers_.begin(), servers_.end(), [&id](const auto& m) { return m.id == id; });
             const position_sample found{
                 .not_before = asked_at, .timeline = s->timeline, .position = s->position};
-            queue_.emplace(now_ + std::chrono::milliseconds{number(20)}, [this, id, found] {
+            queue_.emplace(now_ + std::chrono::milliseconds{random_int(20)}, [this, id, found] {
                 add_server_sample(positions_, id, found, now_);
                 const bool current = view_.record.primary == id && found.timeline == view_.record.timeline;
-                if (current || (broken_.old_primary_counts && id.value == "s0")) {
+                if (current || (faults_.accept_old_primary_samples && id.value == "s0")) {
                     add_primary_sample(positions_, view_.record.term, found);
                 }
             });
@@ -154,26 +154,26 @@
             return;
         }
         adopt_term(s.state, view_.record);
-        primary().position += 1 + static_cast<log_position>(number(3));
+        primary().position += 1 + static_cast<log_position>(random_int(3));
         acks_.push_back({.at = now_, .position = primary().position});
-        s.must_see = std::max(s.must_see, primary().position);
+        s.required_position = std::max(s.required_position, primary().position);
         s.written = primary().position;
         s.idle = false;
         note_write(s.state, view_.record.term, primary().position);
     }
 
     void read(model_session& s) {
-        if (broken_.ignore_floor) {
+        if (faults_.ignore_floor) {
             s.state.floor = session_token{.group = {"g"}, .term = view_.record.term, .position = 0};
-            s.state.known.reset();
-            s.state.wrote.reset();
+            s.state.observed.reset();
+            s.state.written.reset();
         }
-        if (broken_.ignore_seen) {
-            s.state.seen.reset();
+        if (faults_.ignore_last_read) {
+            s.state.last_read.reset();
         }
-        resolve_seen(s.state, view_.record, positions_);
+        apply_positions(s.state, view_.record, positions_);
         if (has_lost_write(s.state, view_.record)) {
-            ++told_lost;
+            ++lost_write_reports;
             // A read's mark is an upper bound of what it showed, so only idle sessions are surely unharmed.
             if (s.idle) {
                 violation_ = "a session that did nothing was told of a lost write";
@@ -186,11 +186,11 @@
         for (const model_server& m : servers_) {
             view_.servers.push_back({.id = m.id});
         }
-        const read_wish wish{.staleness = s.staleness,
-                             .asked_at = now_ - std::chrono::milliseconds{number(50)},
+        const read_context wish{.staleness = s.staleness,
+                             .arrived_at = now_ - std::chrono::milliseconds{random_int(50)},
                              .now = now_,
                              .lease_live = true,
-                             .avoid = {}};
+                             .excluded = {}};
         const routing_decision d = route_read(view_, s.state, wish, {}, random_);
         if (d.kind != target_kind::server) {
             return;
@@ -199,41 +199,41 @@
         const auto server =
             std::find_if(servers_.begin(), servers_.end(), [&d](const auto& m) { return m.id == d.server; });
         const log_position seen = server->position;
-        if (s.lost_write) {
+        if (s.lost_written) {
             violation_ = "a session whose write was lost was not told";
         }
         s.idle = false;
-        if (s.lost) {
+        if (s.lost_observed) {
             return; // what it saw is gone, and it was too fresh to be known
         }
         if (server->timeline != view_.record.timeline) {
             violation_ = "read from a server on an older timeline";
-        } else if (seen < (s.staleness > duration{0} ? s.written : s.must_see)) {
+        } else if (seen < (s.staleness > duration{0} ? s.written : s.required_position)) {
             violation_ = "read older data than the session has seen";
         } else if (s.staleness > duration{0}) {
-            for (const acknowledged& a : acks_) {
+            for (const acknowledged_write& a : acks_) {
                 if (a.at + s.staleness < now_ && a.position > seen) {
                     violation_ = "read data older than stated";
                 }
             }
         }
-        s.must_see = std::max(s.must_see, seen);
+        s.required_position = std::max(s.required_position, seen);
         note_read(s.state, d.server, now_);
     }
 
     // Goes on elsewhere, with its token; what it only read is not carried.
-    void move(model_session& s) {
-        if (!s.state.wrote) {
+    void reconnect(model_session& s) {
+        if (!s.state.written) {
             return;
         }
-        const std::string token = format_token(*s.state.wrote);
-        const log_position carried = s.state.wrote->position;
+        const std::string token = format_token(*s.state.written);
+        const log_position carried = s.state.written->position;
         model_session next = make_session();
         next.staleness = s.staleness;
-        next.must_see = std::min(carried, primary().position);
+        next.required_position = std::min(carried, primary().position);
         next.written = s.written;
-        next.lost = s.lost;
-        next.lost_write = s.lost_write;
+        next.lost_observed = s.lost_observed;
+        next.lost_written = s.lost_written;
         next.idle = s.idle;
         if (!apply_setting(next.state, "session", token)) {
             violation_ = "a token was refused";
@@ -260,23 +260,23 @@
         if (view_.record.term_starts.size() > max_term_starts) {
             view_.record.term_starts.erase(view_.record.term_starts.begin());
         }
-        std::erase_if(acks_, [best](const acknowledged& a) { return a.position > best->position; });
+        std::erase_if(acks_, [best](const acknowledged_write& a) { return a.position > best->position; });
         for (model_session& s : sessions_) {
-            s.lost_write = s.lost_write || s.written > best->position;
-            s.lost = s.lost || (!s.idle && s.must_see > best->position);
-            s.must_see = std::min(s.must_see, best->position);
+            s.lost_written = s.lost_written || s.written > best->position;
+            s.lost_observed = s.lost_observed || (!s.idle && s.required_position > best->position);
+            s.required_position = std::min(s.required_position, best->position);
             s.written = std::min(s.written, best->position);
         }
     }
 
     std::mt19937_64 random_;
-    broken_rules broken_;
+    injected_faults faults_;
     time_point now_{std::chrono::seconds{10}};
     group_view view_;
     group_positions positions_;
     std::vector<model_server> servers_;
     std::vector<model_session> sessions_;
-    std::vector<acknowledged> acks_;
+    std::vector<acknowledged_write> acks_;
     std::multimap<time_point, std::function<void()>> queue_;
     std::string violation_;
 };
@@ -292,7 +292,7 @@
         RC_ASSERT(violation == std::string{});
         on_replica += model.on_replica;
         on_primary += model.on_primary;
-        told_lost += model.told_lost;
+        told_lost += model.lost_write_reports;
     });
     EXPECT_TRUE(held);
     EXPECT_GT(on_replica, 0U);
@@ -301,10 +301,10 @@
               << " sessions told of a lost write\n";
 }
 
-void expect_noticed(const broken_rules& broken) {
-    constexpr std::uint64_t most_seeds = 100;
-    for (std::uint64_t seed = 1; seed <= most_seeds; ++seed) {
-        history_model model(seed, broken);
+void expect_detected(const injected_faults& faults) {
+    constexpr std::uint64_t max_seeds = 100;
+    for (std::uint64_t seed = 1; seed <= max_seeds; ++seed) {
+        history_model model(seed, faults);
         const std::string violation = model.run();
         if (!violation.empty()) {
             std::cout << "noticed with seed " << seed << ": " << violation << "\n";
@@ -315,15 +315,15 @@
 }
 
 TEST(session_fuzz, notices_a_forgotten_write) {
-    expect_noticed({.ignore_floor = true});
+    expect_detected({.ignore_floor = true});
 }
 
 TEST(session_fuzz, notices_a_forgotten_read) {
-    expect_noticed({.ignore_seen = true});
+    expect_detected({.ignore_last_read = true});
 }
 
 TEST(session_fuzz, notices_samples_of_a_replaced_primary) {
-    expect_noticed({.old_primary_counts = true});
+    expect_detected({.accept_old_primary_samples = true});
 }
 
 } // namespace
