--- a/bench/control_bench.cpp
+++ b/bench/control_bench.cpp
@@ -95,10 +95,10 @@
                  .data = encode_state(s)};
     control_core c =
         make_control_core(codec, {.id = 1, .name = "a", .address = "b"}, {}, {}, from, now(), random);
-    for (int i = 0; i < 2000 && !may_lead(c, now()); ++i) {
+    for (int i = 0; i < 2000 && !is_active_leader(c, now()); ++i) {
         tick(c, now() + std::chrono::seconds{2}, random);
         control_output out = take_output(c);
-        persisted(c, out.log.persist_index, out.log.persist_term, now());
+        on_persisted(c, out.consensus.persist_index, out.consensus.persist_term, now());
     }
     return c;
 }
--- a/src/core/control.cpp
+++ b/src/core/control.cpp
@@ -37,7 +37,7 @@
 }
 
 bool earlier_leases_expired(const control_state& c, time_point now) {
-    return now - c.leading_since >= grantor_length(c.config.lease);
+    return now - c.leading_since >= grantor_lease_duration(c.config.lease);
 }
 
 // A grant of an older revision may still be acted upon until it runs out, unless the daemon has confirmed.
@@ -60,7 +60,7 @@
     if (d == c.daemons.end()) {
         return true; // asked for once all earlier leases have run out
     }
-    return !has_live_lease(d->second, now) && now - d->second.last_renewal_at >= grantor_length(c.config.lease);
+    return !has_live_lease(d->second, now) && now - d->second.last_renewal_at >= grantor_lease_duration(c.config.lease);
 }
 
 // A leader that does not know yet whom its predecessor granted a lease calls nobody lost.
@@ -234,7 +234,7 @@
 // Lives of an instance are ordered by the time of day at their start. Where that was set back, the next one
 // counts once the known one has been silent for a lease.
 bool is_next_incarnation(const control_state& c, const daemon_state& d, const renewal& r, time_point now) {
-    const bool known_has_ended = !has_live_lease(d, now) && now - d.last_renewal_at >= grantor_length(c.config.lease);
+    const bool known_has_ended = !has_live_lease(d, now) && now - d.last_renewal_at >= grantor_lease_duration(c.config.lease);
     return r.incarnation > d.incarnation || (r.incarnation < d.incarnation && known_has_ended);
 }
 
@@ -262,11 +262,11 @@
         return;
     }
     daemon_state& d = c.daemons[r.instance.id];
-    const time_point expires_at = now + grantor_length(c.config.lease);
+    const time_point expires_at = now + grantor_lease_duration(c.config.lease);
     reply.lease = c.config.lease;
     remove_expired_leases(d, now);
     record_lease(d, reply.revision, expires_at);
-    c.shares.held_until[d.holder] = expires_at + grantor_length(c.config.share_grace);
+    c.shares.held_until[d.holder] = expires_at + grantor_lease_duration(c.config.share_grace);
 }
 
 } // namespace
--- a/src/core/control_core.cpp
+++ b/src/core/control_core.cpp
@@ -25,15 +25,15 @@
 }
 
 // Daemons need the table, not the operator's document of it, which is as large again.
-void remember_for_daemons(control_core& c, const raft::entry& e, const std::optional<command>& decoded) {
-    c.recent.push_back(e);
+void cache_recent_entry(control_core& c, const raft::entry& e, const std::optional<command>& decoded) {
+    c.recent_entries.push_back(e);
     const auto* edit = decoded ? std::get_if<edit_table>(&*decoded) : nullptr;
     if (edit != nullptr && !edit->document.empty()) {
-        edit_table without = *edit;
-        without.document.clear();
-        c.recent.back().command = c.codec.encode(without);
+        edit_table without_document = *edit;
+        without_document.document.clear();
+        c.recent_entries.back().command = c.codec.encode(without_document);
     }
-    c.recent_bytes += c.recent.back().command.size();
+    c.recent_bytes += c.recent_entries.back().command.size();
 }
 
 void apply_entry(control_core& c, const raft::entry& e) {
@@ -41,15 +41,15 @@
         e.command.empty() ? std::optional<command>{std::monostate{}} : c.codec.decode(e.command);
     const bool urgent = is_urgent(decoded.value_or(std::monostate{}), c.cluster);
     const change_outcome outcome = apply(c.cluster, e.index, decoded.value_or(std::monostate{}));
-    remember_for_daemons(c, e, decoded);
+    cache_recent_entry(c, e, decoded);
     c.urgent_revision = urgent ? e.index : c.urgent_revision;
-    while (c.recent.size() > max_recent_entries || c.recent_bytes > max_recent_bytes) {
-        c.recent_bytes -= c.recent.front().command.size();
-        c.recent.pop_front();
+    while (c.recent_entries.size() > max_recent_entries || c.recent_bytes > max_recent_bytes) {
+        c.recent_bytes -= c.recent_entries.front().command.size();
+        c.recent_entries.pop_front();
     }
     const auto* edit = decoded ? std::get_if<edit_table>(&*decoded) : nullptr;
     if (edit != nullptr) {
-        c.out.decided.push_back({.change_id = edit->change_id, .outcome = outcome});
+        c.out.decided_edits.push_back({.change_id = edit->change_id, .outcome = outcome});
     }
 }
 
@@ -63,7 +63,7 @@
         c.cluster = c.codec.decode_state(log.restored->data).value_or(cluster_state{});
         c.cluster.revision = log.restored->index;
         c.urgent_revision = log.restored->index;
-        c.recent.clear();
+        c.recent_entries.clear();
         c.recent_bytes = 0;
         log.restored.reset();
     }
@@ -76,10 +76,10 @@
     return true;
 }
 
-void compact_if_long(control_core& c) {
-    const bool is_long =
+void compact_if_large(control_core& c) {
+    const bool is_large =
         c.consensus.log.size() >= c.snapshot_entries || c.consensus.log_bytes >= max_log_bytes;
-    if (is_long && c.cluster.revision == c.consensus.delivered) {
+    if (is_large && c.cluster.revision == c.consensus.delivered) {
         raft::compact(c.consensus, c.cluster.revision, c.codec.encode_state(c.cluster));
     }
 }
@@ -88,17 +88,17 @@
 // [leading]
 //-----------------------------------------------------------------------------
 
-bool knows_everything_committed(const control_core& c) {
+bool has_applied_all_committed(const control_core& c) {
     return raft::leader_is_ready(c.consensus) && c.cluster.revision == c.consensus.commit;
 }
 
 // Returns whether the lead was won just now.
-bool follow_leadership(control_core& c, time_point now) {
+bool update_leadership(control_core& c, time_point now) {
     const bool leads = c.consensus.current_role == raft::role::leader;
     if (c.control.leading && !leads) {
         stop_leading(c.control);
         note_event_now(c, "leadership_lost");
-    } else if (!c.control.leading && leads && knows_everything_committed(c)) {
+    } else if (!c.control.leading && leads && has_applied_all_committed(c)) {
         start_leading(c.control, c.consensus.hard.term, now);
         note_event_now(c, "leadership_won");
         return true;
@@ -107,7 +107,7 @@
 }
 
 // Proposals go to the log at once; everything else is for the caller.
-void carry_out(control_core& c, control_actions& actions, time_point now) {
+void dispatch_actions(control_core& c, control_actions& actions, time_point now) {
     std::erase_if(actions, [&c, now](const control_action& action) {
         const auto* proposal = std::get_if<propose_command>(&action);
         if (proposal != nullptr) {
@@ -119,19 +119,19 @@
 }
 
 // What was committed may lead to decisions, and those to new entries, which a lone voter commits at once.
-void settle(control_core& c, time_point now) {
+void process_committed(control_core& c, time_point now) {
     bool again = true;
     while (again) {
         again = apply_committed(c);
-        const bool won = follow_leadership(c, now);
+        const bool won = update_leadership(c, now);
         if (c.control.leading && (again || won)) {
             control_actions actions;
             on_applied(c.control, c.cluster, now, actions);
-            carry_out(c, actions, now);
+            dispatch_actions(c, actions, now);
             again = true;
         }
     }
-    compact_if_long(c);
+    compact_if_large(c);
 }
 
 //-----------------------------------------------------------------------------
@@ -146,15 +146,15 @@
 
 bool is_silent(const raft::state& s, raft::node_id id, time_point now) {
     const auto p = s.peers.find(id);
-    return p != s.peers.end() && now - p->second.acked_sent_at > s.config.election_timeout;
+    return p != s.peers.end() && now - p->second.acked_round_sent_at > s.config.election_timeout;
 }
 
 // Heard of within a few heartbeats: a dead learner must not get a vote.
-bool is_heard(const raft::state& s, raft::node_id id, time_point now) {
+bool is_responsive(const raft::state& s, raft::node_id id, time_point now) {
     constexpr int heartbeats = 3;
     const auto p = s.peers.find(id);
     return p != s.peers.end() && p->second.acked &&
-           now - p->second.acked_sent_at <= s.config.heartbeat_interval * heartbeats;
+           now - p->second.acked_round_sent_at <= s.config.heartbeat_interval * heartbeats;
 }
 
 // Founders know each other by address only, so an instance is told by either.
@@ -165,24 +165,24 @@
 // The instance came back with an empty disk, under another identity that has caught up.
 bool is_replaced(const raft::state& s, const raft::member& old, time_point now) {
     return std::any_of(s.members.members.begin(), s.members.members.end(), [&](const raft::member& m) {
-        return is_same_instance(m, old) && m.id != old.id && has_caught_up(s, m.id) && is_heard(s, m.id, now);
+        return is_same_instance(m, old) && m.id != old.id && has_caught_up(s, m.id) && is_responsive(s, m.id, now);
     });
 }
 
 // Longer than a pause of a sound instance: elections, a slow sync.
-constexpr int silent_election_times = 3;
+constexpr int silent_voter_election_timeouts = 3;
 // A learner that does not answer for so long is gone; should it come back, it asks to join again.
-constexpr duration learner_patience = std::chrono::seconds{12};
+constexpr duration learner_timeout = std::chrono::seconds{12};
 // Without a word of any leader for so long an instance may have been removed, and asks to join.
-constexpr int rejoin_election_times = 10;
+constexpr int rejoin_election_timeouts = 10;
 
 bool is_silent_for(const raft::state& s, raft::node_id id, duration time, time_point now) {
     const auto p = s.peers.find(id);
-    return p != s.peers.end() && now - p->second.acked_sent_at > time;
+    return p != s.peers.end() && now - p->second.acked_round_sent_at > time;
 }
 
 bool is_silent_voter(const raft::state& s, const raft::member& m, time_point now) {
-    return m.voter && is_silent_for(s, m.id, s.config.election_timeout * silent_election_times, now);
+    return m.voter && is_silent_for(s, m.id, s.config.election_timeout * silent_voter_election_timeouts, now);
 }
 
 std::size_t count_voters(const raft::configuration& c) {
@@ -190,7 +190,7 @@
         std::count_if(c.members.begin(), c.members.end(), [](const raft::member& m) { return m.voter; }));
 }
 
-std::size_t count_living_voters(const raft::state& s, time_point now) {
+std::size_t count_responsive_voters(const raft::state& s, time_point now) {
     const auto& members = s.members.members;
     return static_cast<std::size_t>(std::count_if(members.begin(), members.end(), [&](const raft::member& m) {
         return m.voter && !is_silent_voter(s, m, now);
@@ -204,7 +204,7 @@
     return found == c.cluster.instances.end() ? failure_domain{} : found->second.domain;
 }
 
-std::size_t count_living_voters_in(const control_core& c, const failure_domain& domain, time_point now) {
+std::size_t count_responsive_voters_in_domain(const control_core& c, const failure_domain& domain, time_point now) {
     const raft::state& s = c.consensus;
     const auto& members = s.members.members;
     return static_cast<std::size_t>(std::count_if(members.begin(), members.end(), [&](const raft::member& m) {
@@ -215,7 +215,7 @@
 // One voter more than wanted, and one that is silent: it would count against every majority from now on.
 const raft::member* find_surplus_voter(const control_core& c, time_point now) {
     const auto& members = c.consensus.members.members;
-    if (c.wanted_voters == 0 || count_voters(c.consensus.members) <= c.wanted_voters) {
+    if (c.target_voters == 0 || count_voters(c.consensus.members) <= c.target_voters) {
         return nullptr;
     }
     const auto found = std::find_if(members.begin(), members.end(), [&](const raft::member& m) {
@@ -224,36 +224,36 @@
     return found == members.end() ? nullptr : &*found;
 }
 
-const raft::member* find_gone_learner(const control_core& c, time_point now) {
+const raft::member* find_silent_learner(const control_core& c, time_point now) {
     const auto& members = c.consensus.members.members;
     const auto found = std::find_if(members.begin(), members.end(), [&](const raft::member& m) {
-        return !m.voter && is_silent_for(c.consensus, m.id, learner_patience, now);
+        return !m.voter && is_silent_for(c.consensus, m.id, learner_timeout, now);
     });
     return found == members.end() ? nullptr : &*found;
 }
 
-bool may_get_vote(const raft::state& s, const raft::member& m, time_point now) {
+bool is_promotable_learner(const raft::state& s, const raft::member& m, time_point now) {
     const auto& members = s.members.members;
-    const bool name_votes = std::any_of(members.begin(), members.end(), [&m](const raft::member& other) {
+    const bool instance_has_vote = std::any_of(members.begin(), members.end(), [&m](const raft::member& other) {
         return other.voter && is_same_instance(other, m);
     });
-    return !m.voter && !name_votes && has_caught_up(s, m.id) && is_heard(s, m.id, now);
+    return !m.voter && !instance_has_vote && has_caught_up(s, m.id) && is_responsive(s, m.id, now);
 }
 
 // A learner takes the place of a voter that is silent, or one that is missing, in the failure domain with the
 // fewest voters. It comes first and the silent one goes after: at no moment is a change held by fewer disks.
 const raft::member* find_next_voter(const control_core& c, time_point now) {
     const raft::state& s = c.consensus;
-    if (c.wanted_voters != 0 && count_living_voters(s, now) >= c.wanted_voters) {
+    if (c.target_voters != 0 && count_responsive_voters(s, now) >= c.target_voters) {
         return nullptr;
     }
     const raft::member* best = nullptr;
     std::size_t fewest = 0;
     for (const raft::member& m : s.members.members) {
-        if (!may_get_vote(s, m, now)) {
+        if (!is_promotable_learner(s, m, now)) {
             continue;
         }
-        const std::size_t voters = count_living_voters_in(c, domain_of(c, m), now);
+        const std::size_t voters = count_responsive_voters_in_domain(c, domain_of(c, m), now);
         if (best == nullptr || voters < fewest) {
             best = &m;
             fewest = voters;
@@ -270,7 +270,7 @@
     }
 }
 
-void give_vote(control_core& c, raft::node_id id, time_point now) {
+void promote_learner(control_core& c, raft::node_id id, time_point now) {
     raft::configuration next = c.consensus.members;
     for (raft::member& m : next.members) {
         m.voter = m.voter || m.id == id;
@@ -293,9 +293,9 @@
     } else if (const raft::member* surplus = find_surplus_voter(c, now)) {
         remove_member(c, surplus->id, "control_silent_voter_removed", now);
     } else if (const raft::member* ready = find_next_voter(c, now)) {
-        give_vote(c, ready->id, now);
-    } else if (const raft::member* gone = find_gone_learner(c, now)) {
-        remove_member(c, gone->id, "control_silent_learner_removed", now);
+        promote_learner(c, ready->id, now);
+    } else if (const raft::member* silent_learner = find_silent_learner(c, now)) {
+        remove_member(c, silent_learner->id, "control_silent_learner_removed", now);
     }
 }
 
@@ -307,52 +307,52 @@
 
 control_core make_control_core(const command_codec& codec, const raft::member& self,
                                const raft::settings& timing, const control_settings& settings,
-                               const raft::recovered_state& from, time_point now, std::mt19937_64& random) {
+                               const raft::recovered_state& recovered, time_point now, std::mt19937_64& random) {
     control_core c;
     c.codec = codec;
     c.self = self;
     c.control.config = settings;
-    c.consensus = raft::make_state(self.id, timing, from, now, random);
-    settle(c, now);
+    c.consensus = raft::make_state(self.id, timing, recovered, now, random);
+    process_committed(c, now);
     return c;
 }
 
 void tick(control_core& c, time_point now, std::mt19937_64& random) {
     raft::tick(c.consensus, now, random);
-    settle(c, now);
-    if (!may_lead(c, now)) {
+    process_committed(c, now);
+    if (!is_active_leader(c, now)) {
         return;
     }
     control_actions actions;
     on_tick(c.control, c.cluster, now, actions);
-    carry_out(c, actions, now);
+    dispatch_actions(c, actions, now);
     maintain_members(c, now);
-    settle(c, now);
+    process_committed(c, now);
 }
 
 void step(control_core& c, const raft::message& m, time_point now, std::mt19937_64& random) {
     raft::step(c.consensus, m, now, random);
-    settle(c, now);
+    process_committed(c, now);
 }
 
-void persisted(control_core& c, std::uint64_t index, std::uint64_t term, time_point now) {
-    raft::persisted(c.consensus, index, term, now);
-    settle(c, now);
+void on_persisted(control_core& c, std::uint64_t index, std::uint64_t term, time_point now) {
+    raft::on_persisted(c.consensus, index, term, now);
+    process_committed(c, now);
 }
 
 control_output take_output(control_core& c) {
     control_output taken = std::move(c.out);
-    taken.log = raft::take_output(c.consensus);
+    taken.consensus = raft::take_output(c.consensus);
     c.out = control_output{};
     return taken;
 }
 
-bool may_lead(const control_core& c, time_point now) {
+bool is_active_leader(const control_core& c, time_point now) {
     return c.control.leading && raft::leader_has_lease(c.consensus, now);
 }
 
 std::optional<renewal_reply> renew(control_core& c, const renewal& r, time_point now) {
-    if (!may_lead(c, now)) {
+    if (!is_active_leader(c, now)) {
         return std::nullopt;
     }
     control_actions actions;
@@ -362,14 +362,14 @@
     }
     c.control.lease_revision = c.urgent_revision;
     const renewal_reply reply = on_renewal(c.control, c.cluster, r, now, actions);
-    carry_out(c, actions, now);
-    settle(c, now);
+    dispatch_actions(c, actions, now);
+    process_committed(c, now);
     return reply;
 }
 
-std::optional<std::vector<rate_grant>> give_operations(control_core& c, const rate_request& r,
+std::optional<std::vector<rate_grant>> grant_operations(control_core& c, const rate_request& r,
                                                        time_point now) {
-    if (!may_lead(c, now)) {
+    if (!is_active_leader(c, now)) {
         return std::nullopt;
     }
     return on_rate_request(c.control, c.cluster, r, now);
@@ -380,33 +380,33 @@
         return earlier;
     }
     raft::propose(c.consensus, c.codec.encode(edit), now);
-    settle(c, now);
+    process_committed(c, now);
     return std::nullopt;
 }
 
 result_code switch_over(control_core& c, const group_id& group, const server_id& target, time_point now) {
-    if (!may_lead(c, now)) {
+    if (!is_active_leader(c, now)) {
         return result_code::not_leader;
     }
     control_actions actions;
     const result_code code = start_switchover(c.control, c.cluster, group, target, now, actions);
-    carry_out(c, actions, now);
-    settle(c, now);
+    dispatch_actions(c, actions, now);
+    process_committed(c, now);
     return code;
 }
 
-void server_answered(control_core& c, const server_answer& a, time_point now) {
-    if (!may_lead(c, now)) {
+void handle_server_answer(control_core& c, const server_answer& a, time_point now) {
+    if (!is_active_leader(c, now)) {
         return;
     }
     control_actions actions;
     on_server_answer(c.control, c.cluster, a, now, actions);
-    carry_out(c, actions, now);
-    settle(c, now);
+    dispatch_actions(c, actions, now);
+    process_committed(c, now);
 }
 
 result_code join(control_core& c, const raft::member& joining, time_point now) {
-    if (!may_lead(c, now)) {
+    if (!is_active_leader(c, now)) {
         return result_code::not_leader;
     }
     if (raft::find_member(c.consensus.members, joining.id) != nullptr) {
@@ -420,7 +420,7 @@
     if (raft::propose_members(c.consensus, next, now) != 0) {
         note_event_now(c, "control_learner_added");
     }
-    settle(c, now);
+    process_committed(c, now);
     return result_code::ok;
 }
 
@@ -433,24 +433,24 @@
 bool bootstrap(control_core& c, const raft::configuration& founders, time_point now,
                std::mt19937_64& random) {
     const bool started = raft::bootstrap(c.consensus, founders, now, random);
-    settle(c, now);
+    process_committed(c, now);
     return started;
 }
 
-bool wants_to_join(const control_core& c, time_point now) {
+bool should_join(const control_core& c, time_point now) {
     const raft::state& s = c.consensus;
     const bool is_member = raft::find_member(s.members, s.self) != nullptr;
     const bool may_be_removed = s.current_role != raft::role::leader &&
-                                now - s.leader_heard_at > s.config.election_timeout * rejoin_election_times;
+                                now - s.last_leader_contact > s.config.election_timeout * rejoin_election_timeouts;
     return !is_member || may_be_removed;
 }
 
-std::size_t voters_for_losses(unsigned losses) {
+std::size_t voters_for_tolerated_losses(unsigned losses) {
     return losses == 0 ? 0 : 2 * std::size_t{losses} + 1;
 }
 
-bool keeps_changes(const control_core& c) {
-    return count_voters(c.consensus.members) >= c.wanted_voters;
+bool has_enough_voters(const control_core& c) {
+    return count_voters(c.consensus.members) >= c.target_voters;
 }
 
 } // namespace larchpin
--- a/src/core/control_core.hpp
+++ b/src/core/control_core.hpp
@@ -34,9 +34,9 @@
 };
 
 struct control_output {
-    raft::output log;        // records and messages; `committed` is used up already
+    raft::output consensus;        // records and messages; `committed` is used up already
     control_actions actions; // proposals are carried out already
-    std::vector<decided_edit> decided;
+    std::vector<decided_edit> decided_edits;
     bool state_changed = false; // the agreed state has moved on: watchers want it
 };
 
@@ -45,11 +45,11 @@
     raft::state consensus;
     cluster_state cluster;
     control_state control;
-    std::deque<raft::entry> recent;      // applied entries that daemons may still ask for
+    std::deque<raft::entry> recent_entries;      // applied entries that daemons may still ask for
     std::size_t recent_bytes = 0;        // of their commands
     revision_number urgent_revision = 0; // the newest that daemons are to be told at once
     std::size_t snapshot_entries = 4096; // log entries before they are replaced by a snapshot
-    std::size_t wanted_voters = 0; // others stay learners, and replace silent ones; 0: all vote for good
+    std::size_t target_voters = 0; // others stay learners, and replace silent ones; 0: all vote for good
     raft::member self;
     control_output out;
 };
@@ -61,28 +61,28 @@
 
 control_core make_control_core(const command_codec& codec, const raft::member& self,
                                const raft::settings& timing, const control_settings& settings,
-                               const raft::recovered_state& from, time_point now, std::mt19937_64& random);
+                               const raft::recovered_state& recovered, time_point now, std::mt19937_64& random);
 
 void tick(control_core& c, time_point now, std::mt19937_64& random);
 void step(control_core& c, const raft::message& m, time_point now, std::mt19937_64& random);
-void persisted(control_core& c, std::uint64_t index, std::uint64_t term, time_point now);
+void on_persisted(control_core& c, std::uint64_t index, std::uint64_t term, time_point now);
 control_output take_output(control_core& c);
 
 // True where this instance may speak for control at this moment.
-bool may_lead(const control_core& c, time_point now);
+bool is_active_leader(const control_core& c, time_point now);
 
 // Nothing where it may not lead.
 std::optional<renewal_reply> renew(control_core& c, const renewal& r, time_point now);
 
 // Operations within the workspaces' rate limits. Nothing where it may not lead.
-std::optional<std::vector<rate_grant>> give_operations(control_core& c, const rate_request& r,
+std::optional<std::vector<rate_grant>> grant_operations(control_core& c, const rate_request& r,
                                                        time_point now);
 
 // Proposes an edit, or finds the outcome of an earlier one with the same id. Nothing: it is being decided.
 std::optional<change_outcome> propose_edit(control_core& c, const edit_table& edit, time_point now);
 
 result_code switch_over(control_core& c, const group_id& group, const server_id& target, time_point now);
-void server_answered(control_core& c, const server_answer& a, time_point now);
+void handle_server_answer(control_core& c, const server_answer& a, time_point now);
 
 // A node that is in no configuration, or was removed from it, wants in as a learner.
 result_code join(control_core& c, const raft::member& joining, time_point now);
@@ -91,13 +91,13 @@
 
 // This node is in no configuration that it knows, or has not heard a leader for so long that it may have been
 // removed: one that was silent while another took over its vote. It keeps its identity then, and joins again.
-bool wants_to_join(const control_core& c, time_point now);
+bool should_join(const control_core& c, time_point now);
 
 // How many voters it takes to bear so many lost disks at once; 0: not stated, everyone votes.
-std::size_t voters_for_losses(unsigned losses);
+std::size_t voters_for_tolerated_losses(unsigned losses);
 
 // Enough voters hold what is committed that the losses to be borne cannot take it away. Before that, and
 // while one of them is being replaced, no change is acknowledged.
-bool keeps_changes(const control_core& c);
+bool has_enough_voters(const control_core& c);
 
 } // namespace larchpin
--- a/src/core/control_talk.cpp
+++ b/src/core/control_talk.cpp
@@ -6,45 +6,45 @@
 namespace larchpin {
 namespace {
 
-constexpr int usual_renewals_per_lease = 5;
+constexpr int max_renewals_per_lease = 5;
 // A renewal costs a leader about 0.1 ms of a processor, so these are a sixteenth of one.
-constexpr std::int64_t renewals_per_second = 600;
+constexpr std::int64_t target_renewals_per_second = 600;
 // Told of urgent news a leader is in use for a third of its time, where it has a third of a processor.
-constexpr duration news_per_instance = std::chrono::microseconds{1000};
-constexpr duration urgent_news_per_instance = std::chrono::microseconds{300};
-constexpr duration longest_news_interval = std::chrono::milliseconds{300};
-constexpr duration longest_urgent_news_interval = std::chrono::milliseconds{100};
-constexpr std::size_t few_instances = 40; // told of each revision by itself
-constexpr duration search_per_instance = std::chrono::microseconds{500};
-constexpr duration longest_search_pause = std::chrono::milliseconds{150};
-
-duration interval_for(std::size_t instances, duration each, duration longest) {
-    if (instances <= few_instances) {
+constexpr duration notification_interval_per_instance = std::chrono::microseconds{1000};
+constexpr duration urgent_notification_interval_per_instance = std::chrono::microseconds{300};
+constexpr duration max_notification_interval = std::chrono::milliseconds{300};
+constexpr duration max_urgent_notification_interval = std::chrono::milliseconds{100};
+constexpr std::size_t max_unpaced_instances = 40; // told of each revision by itself
+constexpr duration search_backoff_per_instance = std::chrono::microseconds{500};
+constexpr duration max_search_backoff = std::chrono::milliseconds{150};
+
+duration paced_interval(std::size_t instance_count, duration per_instance, duration max_interval) {
+    if (instance_count <= max_unpaced_instances) {
         return duration{0};
     }
-    return std::min(each * static_cast<std::int64_t>(instances), longest);
+    return std::min(per_instance * static_cast<std::int64_t>(instance_count), max_interval);
 }
 
 } // namespace
 
-duration renewal_interval(duration lease, std::size_t instances) {
-    const duration usual = lease / usual_renewals_per_lease;
+duration renewal_interval(duration lease, std::size_t instance_count) {
+    const duration min_interval = lease / max_renewals_per_lease;
     const duration paced =
-        duration{std::chrono::seconds{1}} * static_cast<std::int64_t>(instances) / renewals_per_second;
-    return std::clamp(paced, usual, usual * 2);
+        duration{std::chrono::seconds{1}} * static_cast<std::int64_t>(instance_count) / target_renewals_per_second;
+    return std::clamp(paced, min_interval, min_interval * 2);
 }
 
-duration news_interval(std::size_t instances) {
-    return interval_for(instances, news_per_instance, longest_news_interval);
+duration notification_interval(std::size_t instance_count) {
+    return paced_interval(instance_count, notification_interval_per_instance, max_notification_interval);
 }
 
-duration urgent_news_interval(std::size_t instances) {
-    return interval_for(instances, urgent_news_per_instance, longest_urgent_news_interval);
+duration urgent_notification_interval(std::size_t instance_count) {
+    return paced_interval(instance_count, urgent_notification_interval_per_instance, max_urgent_notification_interval);
 }
 
-duration leader_search_pause(duration usual, std::size_t instances) {
-    const duration paced = search_per_instance * static_cast<std::int64_t>(instances);
-    return std::max(usual, std::min(paced, longest_search_pause));
+duration leader_search_backoff(duration min_backoff, std::size_t instance_count) {
+    const duration paced = search_backoff_per_instance * static_cast<std::int64_t>(instance_count);
+    return std::max(min_backoff, std::min(paced, max_search_backoff));
 }
 
 bool is_urgent(const command& c, const cluster_state& before) {
--- a/src/core/control_talk.hpp
+++ b/src/core/control_talk.hpp
@@ -13,16 +13,16 @@
 
 // The time from one renewal of an instance to its next one, where `instances` renew a lease of this length:
 // a fifth of it, and where there are many up to two fifths, so that one answer may be lost.
-duration renewal_interval(duration lease, std::size_t instances);
+duration renewal_interval(duration lease, std::size_t instance_count);
 
 // The least time between two answers to all who wait for news: a start of all brings hundreds of revisions,
 // and each told by itself costs an answer, a question and often a renewal an instance. Urgent ones wait less.
-duration news_interval(std::size_t instances);
-duration urgent_news_interval(std::size_t instances);
+duration notification_interval(std::size_t instance_count);
+duration urgent_notification_interval(std::size_t instance_count);
 
 // The time after which an instance that found no leader asks the next one; at least what is usual where few
 // ask.
-duration leader_search_pause(duration usual, std::size_t instances);
+duration leader_search_backoff(duration min_backoff, std::size_t instance_count);
 
 // Others wait until instances have confirmed it, or something goes wrong without it: tables, primaries,
 // servers that leave or have started again. That an instance or a server is new may be known a moment later.
--- a/src/core/lease.hpp
+++ b/src/core/lease.hpp
@@ -14,28 +14,28 @@
 
 struct lease_grant {
     revision_number revision = 0; // counts once this is applied
-    time_point until{};           // by the holder's clock
+    time_point expires_at{};           // by the holder's clock
     auto operator<=>(const lease_grant&) const = default;
 };
 
 struct lease_state {
-    time_point until{};               // of the grants that count
-    std::deque<lease_grant> awaiting; // of those whose revision is not applied yet
+    time_point expires_at{};               // of the grants that count
+    std::deque<lease_grant> pending_grants; // of those whose revision is not applied yet
 };
 
 // What a grantor and a holder make of a lease's nominal length.
-duration holder_length(duration nominal);
-duration grantor_length(duration nominal);
+duration holder_lease_duration(duration nominal);
+duration grantor_lease_duration(duration nominal);
 
 // A renewal sent at `sent` was granted.
-void add_grant(lease_state& l, time_point sent, duration nominal, revision_number at,
-               revision_number applied);
+void add_grant(lease_state& l, time_point sent, duration nominal, revision_number granted_revision,
+               revision_number applied_revision);
 
 // The daemon has applied everything up to this revision.
-void note_applied(lease_state& l, revision_number applied);
+void record_applied(lease_state& l, revision_number applied_revision);
 
 // Gives the lease up, as a daemon does that stops.
-void drop_lease(lease_state& l);
+void release_lease(lease_state& l);
 
 bool lease_is_live(const lease_state& l, time_point now);
 
--- a/src/core/leave_times.cpp
+++ b/src/core/leave_times.cpp
@@ -12,51 +12,51 @@
 constexpr std::size_t max_renewals = 64;
 
 // The latest renewal that control answered before it reached this revision.
-std::optional<time_point> last_renewal_before(const leave_times& t, revision_number revision) {
+std::optional<time_point> last_renewal_before(const leave_deadlines& t, revision_number revision) {
     const auto after = std::find_if(t.renewals.begin(), t.renewals.end(),
-                                    [revision](const current_revision& r) { return r.revision >= revision; });
-    return after == t.renewals.begin() ? std::nullopt : std::optional{std::prev(after)->sent};
+                                    [revision](const answered_renewal& r) { return r.revision >= revision; });
+    return after == t.renewals.begin() ? std::nullopt : std::optional{std::prev(after)->sent_at};
 }
 
 } // namespace
 
-void note_current(leave_times& t, revision_number revision, time_point sent) {
+void record_answered_renewal(leave_deadlines& t, revision_number revision, time_point sent_at) {
     if (!t.renewals.empty() && revision < t.renewals.back().revision) {
         return; // overtaken on its way by a later one
     }
     if (!t.renewals.empty() && revision == t.renewals.back().revision) {
-        t.renewals.back().sent = std::max(t.renewals.back().sent, sent);
+        t.renewals.back().sent_at = std::max(t.renewals.back().sent_at, sent_at);
         return;
     }
-    t.renewals.push_back({.revision = revision, .sent = sent});
+    t.renewals.push_back({.revision = revision, .sent_at = sent_at});
     if (t.renewals.size() > max_renewals) {
         t.renewals.pop_front();
     }
 }
 
-std::vector<server_id> follow_leaving(leave_times& t, const cluster_state& s, revision_number first_new) {
+std::vector<server_id> update_leaving_servers(leave_deadlines& t, const cluster_state& s, revision_number first_new_revision) {
     std::erase_if(t.leaves, [&s](const auto& known) {
         const auto server = s.servers.find(known.first);
         return server == s.servers.end() || !server->second.leaving ||
                server->second.start_number != known.second.start_number;
     });
-    std::vector<server_id> learned;
+    std::vector<server_id> newly_leaving;
     for (const auto& [id, server] : s.servers) {
         if (server.leaving && !t.leaves.contains(id)) {
-            t.leaves[id] = {.start_number = server.start_number, .since = last_renewal_before(t, first_new)};
-            learned.push_back(id);
+            t.leaves[id] = {.start_number = server.start_number, .earliest_ack = last_renewal_before(t, first_new_revision)};
+            newly_leaving.push_back(id);
         }
     }
-    return learned;
+    return newly_leaving;
 }
 
-bool is_leave_over(const leave_times& t, const server_id& server, duration leave_time, time_point now) {
+bool leave_time_has_expired(const leave_deadlines& t, const server_id& server, duration leave_time, time_point now) {
     const auto known = t.leaves.find(server);
     if (known == t.leaves.end()) {
         return false;
     }
-    const std::optional<time_point>& since = known->second.since;
-    return !since || now >= *since + leave_time - leave_slack;
+    const std::optional<time_point>& earliest_ack = known->second.earliest_ack;
+    return !earliest_ack || now >= *earliest_ack + leave_time - leave_safety_margin;
 }
 
 } // namespace larchpin
--- a/src/core/raft.cpp
+++ b/src/core/raft.cpp
@@ -13,13 +13,13 @@
 // [log]
 //-----------------------------------------------------------------------------
 
-constexpr std::size_t max_open_rounds = 256;
+constexpr std::size_t max_unacked_rounds = 256;
 // Longer than a vote takes (two syncs of 2 to 5 ms and a round trip), so that the first one is done before
 // the next one stands.
-constexpr duration first_election_step = std::chrono::milliseconds{60};
+constexpr duration initial_election_stagger = std::chrono::milliseconds{60};
 // A peer whose disk hangs keeps what it has got, and each copy costs the whole of the entries (a table of 340
 // routes is 100 KB). One that was lost with its connection is missed for as long at most.
-constexpr duration max_resend_wait = std::chrono::seconds{1};
+constexpr duration max_resend_backoff = std::chrono::seconds{1};
 
 const entry* entry_at(const state& s, std::uint64_t index) {
     if (index <= s.snap.index || index > last_index(s)) {
@@ -58,7 +58,7 @@
     }
 }
 
-void store_hard(state& s) {
+void store_hard_state(state& s) {
     s.out.records.push_back(record{.hard = s.hard, .log_entry = {}, .snap = {}});
 }
 
@@ -85,18 +85,18 @@
 // After a start the voters stand one after the other: where all of them start at once, nobody leads, and the
 // first one need not wait longer than a leader's lease can last. A leader 0.33 to 0.49 s after the start,
 // where timers by chance took 0.35 to 0.95 s (four restarts, election timeout 300 ms).
-void set_first_election_timer(state& s, time_point now) {
+void set_initial_election_timer(state& s, time_point now) {
     std::int64_t rank = 0;
     for (const member& m : s.members.members) {
         rank += m.voter && m.id < s.self ? 1 : 0;
     }
-    s.election_deadline = now + s.config.election_timeout + first_election_step * rank;
+    s.election_deadline = now + s.config.election_timeout + initial_election_stagger * rank;
 }
 
 void become_follower(state& s, std::uint64_t term, node_id leader, time_point now, std::mt19937_64& random) {
     if (term > s.hard.term) {
         s.hard = hard_state{.term = term, .voted_for = 0};
-        store_hard(s);
+        store_hard_state(s);
     }
     s.current_role = role::follower;
     s.leader = leader;
@@ -115,8 +115,8 @@
     return voter_count(s) / 2 + 1;
 }
 
-bool heard_from_leader_lately(const state& s, time_point now) {
-    return now - s.leader_heard_at < s.config.election_timeout;
+bool has_recent_leader_contact(const state& s, time_point now) {
+    return now - s.last_leader_contact < s.config.election_timeout;
 }
 
 //-----------------------------------------------------------------------------
@@ -125,12 +125,12 @@
 
 // Entries were sent to this peer that it has not acknowledged.
 bool has_entries_in_flight(const progress& p) {
-    return p.base + 1 < p.next;
+    return p.in_flight_base + 1 < p.next;
 }
 
-void note_progress(const state& s, progress& p, time_point now) {
-    p.resend_wait = s.config.heartbeat_interval;
-    p.resend_at = now + p.resend_wait;
+void reset_resend_backoff(const state& s, progress& p, time_point now) {
+    p.resend_backoff = s.config.heartbeat_interval;
+    p.resend_at = now + p.resend_backoff;
 }
 
 message make_message(const state& s, message_kind kind, node_id to) {
@@ -170,27 +170,27 @@
 }
 
 // A peer that has said nothing to this leader for long may be empty, and not know whom to tell.
-void send_again_if_overdue(progress& p, time_point now) {
-    const bool silent = !p.acked && p.resend_wait >= max_resend_wait;
+void rewind_if_ack_overdue(progress& p, time_point now) {
+    const bool silent = !p.acked && p.resend_backoff >= max_resend_backoff;
     if (now < p.resend_at || p.snapshot_in_flight || !(has_entries_in_flight(p) || !p.acked)) {
         return;
     }
-    p.base = silent ? 0 : p.base;
-    p.next = p.base + 1;
-    p.resend_wait = std::min(p.resend_wait * 2, max_resend_wait);
-    p.resend_at = now + p.resend_wait;
+    p.in_flight_base = silent ? 0 : p.in_flight_base;
+    p.next = p.in_flight_base + 1;
+    p.resend_backoff = std::min(p.resend_backoff * 2, max_resend_backoff);
+    p.resend_at = now + p.resend_backoff;
 }
 
-void sync_peers(state& s, time_point now) {
+void update_peers(state& s, time_point now) {
     for (const member& m : s.members.members) {
         if (m.id != s.self && !s.peers.contains(m.id)) {
             // A member that joins has nothing, and cannot say so: it does not know the others yet.
-            const bool joins = now > s.became_leader_at;
+            const bool is_joining = now > s.became_leader_at;
             progress p;
-            p.base = joins ? 0 : last_index(s);
-            p.next = p.base + 1;
-            note_progress(s, p, now);
-            p.acked_sent_at = now; // it has the time to answer before it counts as silent
+            p.in_flight_base = is_joining ? 0 : last_index(s);
+            p.next = p.in_flight_base + 1;
+            reset_resend_backoff(s, p, now);
+            p.acked_round_sent_at = now; // it has the time to answer before it counts as silent
             s.peers.emplace(m.id, p);
         }
     }
@@ -201,15 +201,15 @@
     if (new_round) {
         ++s.round;
         s.round_sent_at[s.round] = now;
-        while (s.round_sent_at.size() > max_open_rounds) {
+        while (s.round_sent_at.size() > max_unacked_rounds) {
             s.round_sent_at.erase(s.round_sent_at.begin());
         }
         s.last_heartbeat = now;
     }
-    sync_peers(s, now);
+    update_peers(s, now);
     for (auto& [id, p] : s.peers) {
-        const bool silent = now - p.acked_sent_at > max_resend_wait;
-        const duration snapshot_wait = silent ? max_resend_wait : s.config.election_timeout;
+        const bool silent = now - p.acked_round_sent_at > max_resend_backoff;
+        const duration snapshot_wait = silent ? max_resend_backoff : s.config.election_timeout;
         const bool waits_for_snapshot = p.snapshot_in_flight && now - p.last_send < snapshot_wait;
         if (!waits_for_snapshot) {
             send_append(s, id, p, now);
@@ -234,10 +234,10 @@
         return;
     }
     std::sort(matches.begin(), matches.end(), std::greater<>());
-    const std::uint64_t agreed = matches[majority(s) - 1];
+    const std::uint64_t majority_index = matches[majority(s) - 1];
     // Only entries of the own term commit by counting (Raft, 5.4.2).
-    if (agreed > s.commit && term_at(s, agreed) == s.hard.term) {
-        s.commit = agreed;
+    if (majority_index > s.commit && term_at(s, majority_index) == s.hard.term) {
+        s.commit = majority_index;
         deliver_committed(s);
     }
 }
@@ -248,17 +248,17 @@
     s.became_leader_at = now;
     s.peers.clear();
     s.round_sent_at.clear();
-    entry first;
-    first.index = last_index(s) + 1;
-    first.term = s.hard.term;
-    store_entry(s, first);
+    entry noop;
+    noop.index = last_index(s) + 1;
+    noop.term = s.hard.term;
+    store_entry(s, noop);
     for (const member& m : s.members.members) {
         if (m.id != s.self) {
             progress p;
-            p.base = first.index - 1; // until a refusal tells that it lacks more
-            p.next = first.index;
-            note_progress(s, p, now);
-            p.acked_sent_at = now;
+            p.in_flight_base = noop.index - 1; // until a refusal tells that it lacks more
+            p.next = noop.index;
+            reset_resend_backoff(s, p, now);
+            p.acked_round_sent_at = now;
             s.peers.emplace(m.id, p);
         }
     }
@@ -269,7 +269,7 @@
 // [votes]
 //-----------------------------------------------------------------------------
 
-bool won(const state& s) {
+bool has_vote_majority(const state& s) {
     std::size_t granted = 0;
     for (const auto& [id, vote] : s.votes) {
         granted += (vote && is_voter(s.members, id)) ? 1 : 0;
@@ -277,7 +277,7 @@
     return granted >= majority(s);
 }
 
-void ask_for_votes(state& s, message_kind kind, std::uint64_t term) {
+void request_votes(state& s, message_kind kind, std::uint64_t term) {
     for (const member& m : s.members.members) {
         if (!m.voter || m.id == s.self) {
             continue;
@@ -294,13 +294,13 @@
     s.current_role = role::candidate;
     reset_election_timer(s, now, random); // by chance, or two candidates go on splitting the votes
     s.hard = hard_state{.term = s.hard.term + 1, .voted_for = s.self};
-    store_hard(s);
+    store_hard_state(s);
     s.votes = {{s.self, true}};
-    if (won(s)) {
+    if (has_vote_majority(s)) {
         become_leader(s, now);
         return;
     }
-    ask_for_votes(s, message_kind::vote_request, s.hard.term);
+    request_votes(s, message_kind::vote_request, s.hard.term);
 }
 
 void start_pre_vote(state& s, time_point now, std::mt19937_64& random) {
@@ -313,24 +313,24 @@
     s.current_role = role::pre_candidate;
     s.leader = 0;
     s.votes = {{s.self, true}};
-    if (won(s)) {
+    if (has_vote_majority(s)) {
         start_election(s, now, random);
         return;
     }
-    ask_for_votes(s, message_kind::pre_vote_request, s.hard.term + 1);
+    request_votes(s, message_kind::pre_vote_request, s.hard.term + 1);
 }
 
-bool log_is_current(const state& s, const message& m) {
+bool is_candidate_log_up_to_date(const state& s, const message& m) {
     const std::uint64_t own_term = term_at(s, last_index(s));
     return m.log_term > own_term || (m.log_term == own_term && m.log_index >= last_index(s));
 }
 
 // A node that hears a working leader refuses, whatever the term: the leader's lease rests on this.
 bool refuses_elections(const state& s, time_point now) {
-    return s.current_role == role::leader ? leader_has_lease(s, now) : heard_from_leader_lately(s, now);
+    return s.current_role == role::leader ? leader_has_lease(s, now) : has_recent_leader_contact(s, now);
 }
 
-void note_refusal(state& s, const message& m, refusal_reason reason) {
+void record_refusal(state& s, const message& m, refusal_reason reason) {
     s.out.refusals.push_back({.candidate = m.from,
                               .pre_vote = m.kind == message_kind::pre_vote_request,
                               .reason = reason,
@@ -345,9 +345,9 @@
         return refusal_reason::older_term;
     }
     if (refuses_elections(s, now)) {
-        return refusal_reason::hears_leader;
+        return refusal_reason::leader_active;
     }
-    return log_is_current(s, m) ? std::nullopt : std::optional{refusal_reason::older_log};
+    return is_candidate_log_up_to_date(s, m) ? std::nullopt : std::optional{refusal_reason::older_log};
 }
 
 void on_pre_vote_request(state& s, const message& m, time_point now) {
@@ -357,7 +357,7 @@
     reply.term = reply.granted ? m.term : s.hard.term;
     s.out.messages.push_back(std::move(reply));
     if (refusal) {
-        note_refusal(s, m, *refusal);
+        record_refusal(s, m, *refusal);
     }
 }
 
@@ -366,14 +366,14 @@
     if (s.hard.voted_for != 0 && s.hard.voted_for != m.from) {
         return refusal_reason::voted_for_another;
     }
-    return log_is_current(s, m) ? std::nullopt : std::optional{refusal_reason::older_log};
+    return is_candidate_log_up_to_date(s, m) ? std::nullopt : std::optional{refusal_reason::older_log};
 }
 
 void on_vote_request(state& s, const message& m, time_point now, std::mt19937_64& random) {
-    const bool hears_leader = refuses_elections(s, now);
-    if (hears_leader || m.term < s.hard.term) {
+    const bool leader_active = refuses_elections(s, now);
+    if (leader_active || m.term < s.hard.term) {
         s.out.messages.push_back(make_message(s, message_kind::vote_reply, m.from));
-        note_refusal(s, m, hears_leader ? refusal_reason::hears_leader : refusal_reason::older_term);
+        record_refusal(s, m, leader_active ? refusal_reason::leader_active : refusal_reason::older_term);
         return;
     }
     if (m.term > s.hard.term) {
@@ -383,10 +383,10 @@
     const auto refusal = find_vote_refusal(s, m);
     reply.granted = !refusal;
     if (refusal) {
-        note_refusal(s, m, *refusal);
+        record_refusal(s, m, *refusal);
     } else if (s.hard.voted_for == 0) {
         s.hard.voted_for = m.from;
-        store_hard(s);
+        store_hard_state(s);
         reset_election_timer(s, now, random);
     }
     s.out.messages.push_back(std::move(reply));
@@ -404,7 +404,7 @@
         return;
     }
     s.votes[m.from] = true;
-    if (!won(s)) {
+    if (!has_vote_majority(s)) {
         return;
     }
     if (pre) {
@@ -419,7 +419,7 @@
 //-----------------------------------------------------------------------------
 
 // Returns false for a message of an old leader, which has been answered then.
-bool follow_sender(state& s, const message& m, message_kind reply_kind, time_point now,
+bool accept_leader_message(state& s, const message& m, message_kind reply_kind, time_point now,
                    std::mt19937_64& random) {
     if (m.term < s.hard.term) {
         s.out.messages.push_back(make_message(s, reply_kind, m.from));
@@ -428,19 +428,19 @@
     if (m.term > s.hard.term || s.current_role != role::follower || s.leader != m.from) {
         become_follower(s, m.term, m.from, now, random);
     }
-    s.leader_heard_at = now;
+    s.last_leader_contact = now;
     reset_election_timer(s, now, random);
     return true;
 }
 
 void on_append_request(state& s, const message& m, time_point now, std::mt19937_64& random) {
-    if (!follow_sender(s, m, message_kind::append_reply, now, random)) {
+    if (!accept_leader_message(s, m, message_kind::append_reply, now, random)) {
         return;
     }
     message reply = make_message(s, message_kind::append_reply, m.from);
     reply.round = m.round;
-    const bool below_base = m.log_index < s.snap.index;
-    if (!below_base && (m.log_index > last_index(s) || term_at(s, m.log_index) != m.log_term)) {
+    const bool before_snapshot = m.log_index < s.snap.index;
+    if (!before_snapshot && (m.log_index > last_index(s) || term_at(s, m.log_index) != m.log_term)) {
         reply.granted = false;
         reply.log_index = std::min(m.log_index == 0 ? 0 : m.log_index - 1, last_index(s));
         s.out.messages.push_back(std::move(reply));
@@ -460,7 +460,7 @@
 }
 
 void on_snapshot_request(state& s, const message& m, time_point now, std::mt19937_64& random) {
-    if (!m.snap || !follow_sender(s, m, message_kind::snapshot_reply, now, random)) {
+    if (!m.snap || !accept_leader_message(s, m, message_kind::snapshot_reply, now, random)) {
         return;
     }
     message reply = make_message(s, message_kind::snapshot_reply, m.from);
@@ -482,24 +482,24 @@
     s.out.messages.push_back(std::move(reply));
 }
 
-void note_ack_time(state& s, progress& p, const message& m) {
+void record_ack_time(state& s, progress& p, const message& m) {
     const auto sent = s.round_sent_at.find(m.round);
     if (sent == s.round_sent_at.end()) {
         return;
     }
-    p.acked_sent_at = std::max(p.acked_sent_at, sent->second);
+    p.acked_round_sent_at = std::max(p.acked_round_sent_at, sent->second);
     p.acked = true;
 }
 
 // A refusal that tells of nothing before what is in flight says only that this has not arrived yet: sent once
 // more for each of them, large entries would choke the peer.
 void on_append_refused(state& s, progress& p, const message& m, time_point now) {
-    const bool on_its_way = has_entries_in_flight(p) || p.snapshot_in_flight;
-    if (on_its_way && m.log_index >= p.base) {
+    const bool in_flight = has_entries_in_flight(p) || p.snapshot_in_flight;
+    if (in_flight && m.log_index >= p.in_flight_base) {
         return;
     }
     p.next = std::max<std::uint64_t>(p.match + 1, m.log_index + 1);
-    p.base = p.next - 1;
+    p.in_flight_base = p.next - 1;
     send_append(s, m.from, p, now);
 }
 
@@ -513,7 +513,7 @@
         return;
     }
     progress& p = found->second;
-    note_ack_time(s, p, m);
+    record_ack_time(s, p, m);
     if (!m.granted) {
         on_append_refused(s, p, m, now);
         return;
@@ -521,9 +521,9 @@
     p.snapshot_in_flight = false;
     if (m.log_index > p.match) {
         p.match = m.log_index;
-        note_progress(s, p, now);
+        reset_resend_backoff(s, p, now);
     }
-    p.base = std::max(p.base, p.match);
+    p.in_flight_base = std::max(p.in_flight_base, p.match);
     p.next = std::max(p.next, p.match + 1);
     const std::uint64_t commit_before = s.commit;
     advance_commit(s);
@@ -541,15 +541,15 @@
             continue;
         }
         const auto p = s.peers.find(m.id);
-        const bool heard = p != s.peers.end() && p->second.acked && p->second.acked_sent_at >= since;
-        acked += (m.id == s.self || heard) ? 1 : 0;
+        const bool has_recent_ack = p != s.peers.end() && p->second.acked && p->second.acked_round_sent_at >= since;
+        acked += (m.id == s.self || has_recent_ack) ? 1 : 0;
     }
     return acked >= majority(s);
 }
 
 void tick_leader(state& s, time_point now, std::mt19937_64& random) {
-    const duration patience = s.config.election_timeout * 2;
-    if (now - s.became_leader_at > patience && !majority_acked_since(s, now - patience)) {
+    const duration quorum_timeout = s.config.election_timeout * 2;
+    if (now - s.became_leader_at > quorum_timeout && !majority_acked_since(s, now - quorum_timeout)) {
         become_follower(s, s.hard.term, 0, now, random);
         return;
     }
@@ -562,7 +562,7 @@
         return;
     }
     for (auto& [id, p] : s.peers) {
-        send_again_if_overdue(p, now);
+        rewind_if_ack_overdue(p, now);
     }
     broadcast(s, now, true);
 }
@@ -620,14 +620,14 @@
     return found;
 }
 
-state make_state(node_id self, const settings& config, const recovered_state& from, time_point now,
+state make_state(node_id self, const settings& config, const recovered_state& recovered, time_point now,
                  std::mt19937_64& random) {
     state s;
     s.self = self;
     s.config = config;
-    s.hard = from.hard;
-    s.snap = from.snap;
-    s.log.assign(from.log.begin(), from.log.end());
+    s.hard = recovered.hard;
+    s.snap = recovered.snap;
+    s.log.assign(recovered.log.begin(), recovered.log.end());
     for (const entry& e : s.log) {
         s.log_bytes += e.command.size();
     }
@@ -639,10 +639,10 @@
         s.out.restored = s.snap;
     }
     // It may have heard a leader just before it stopped, so it waits out that leader's lease.
-    s.leader_heard_at = now;
+    s.last_leader_contact = now;
     reset_election_timer(s, now, random);
     if (is_voter(s.members, self)) {
-        set_first_election_timer(s, now);
+        set_initial_election_timer(s, now);
     }
     return s;
 }
@@ -653,7 +653,7 @@
     }
     // Nobody has led in term 1, so the first entry can never be at odds with another one.
     s.hard = hard_state{.term = 1, .voted_for = s.self};
-    store_hard(s);
+    store_hard_state(s);
     entry first;
     first.index = 1;
     first.term = 1;
@@ -713,7 +713,7 @@
     return e.index;
 }
 
-void persisted(state& s, std::uint64_t index, std::uint64_t term, time_point now) {
+void on_persisted(state& s, std::uint64_t index, std::uint64_t term, time_point now) {
     if (index > last_index(s) || term_at(s, index) != term) {
         return; // replaced while it was being synced; the replacement's own sync will report
     }
--- a/src/core/raft.hpp
+++ b/src/core/raft.hpp
@@ -110,13 +110,13 @@
     bool operator==(const record&) const = default;
 };
 
-enum class refusal_reason : std::uint8_t { hears_leader = 1, older_term, older_log, voted_for_another };
+enum class refusal_reason : std::uint8_t { leader_active = 1, older_term, older_log, voted_for_another };
 
 // A vote that this node did not grant, for the log.
 struct vote_refusal {
     node_id candidate = 0;
     bool pre_vote = false;
-    refusal_reason reason = refusal_reason::hears_leader;
+    refusal_reason reason = refusal_reason::leader_active;
     std::uint64_t term = 0; // asked for
     std::uint64_t candidate_log_term = 0;
     std::uint64_t candidate_log_index = 0;
@@ -146,13 +146,13 @@
 struct progress {
     std::uint64_t next = 1;
     std::uint64_t match = 0;
-    std::uint64_t base = 0; // index before the oldest entry in flight: what it is thought to hold for certain
-    time_point acked_sent_at{}; // when the newest acknowledged round was sent
+    std::uint64_t in_flight_base = 0; // index before the oldest entry in flight: what it is thought to hold for certain
+    time_point acked_round_sent_at{}; // when the newest acknowledged round was sent
     bool acked = false;
     time_point last_send{};
     bool snapshot_in_flight = false;
     time_point resend_at{};  // entries in flight that are not acknowledged by then are sent again
-    duration resend_wait{0}; // up to resend_at; doubles until something is acknowledged
+    duration resend_backoff{0}; // up to resend_at; doubles until something is acknowledged
 };
 
 // What a data folder held when it was read back.
@@ -177,7 +177,7 @@
     std::uint64_t delivered = 0; // last index handed out for applying
     std::uint64_t persisted = 0; // last index known to be synced here
     time_point election_deadline{};
-    time_point leader_heard_at{};
+    time_point last_leader_contact{};
     time_point became_leader_at{};
     std::uint64_t round = 0;
     std::map<std::uint64_t, time_point> round_sent_at; // rounds that may still be acknowledged
@@ -191,7 +191,7 @@
 // [functions]
 //-----------------------------------------------------------------------------
 
-state make_state(node_id self, const settings& config, const recovered_state& from, time_point now,
+state make_state(node_id self, const settings& config, const recovered_state& recovered, time_point now,
                  std::mt19937_64& random);
 
 // Founds a new cluster with these voters, `s.self` among them. Only for a data folder that holds nothing;
@@ -211,7 +211,7 @@
 std::uint64_t propose_members(state& s, const configuration& next, time_point now);
 
 // The records up to this index are synced. The term tells whether the entry has been replaced meanwhile.
-void persisted(state& s, std::uint64_t index, std::uint64_t term, time_point now);
+void on_persisted(state& s, std::uint64_t index, std::uint64_t term, time_point now);
 
 // Drops the log up to the applied index, replaced by `data`.
 void compact(state& s, std::uint64_t index, const std::string& data);
--- a/src/core/rate_limits.cpp
+++ b/src/core/rate_limits.cpp
@@ -65,7 +65,7 @@
 rate_grant answer_claim(rate_account& a, const workspace_entry& w, double capacity, const instance_id& daemon,
                         const rate_claim& claim, time_point now) {
     granted_operations& granted = a.granted[daemon];
-    granted = {.operations = claim.held + claim.running, .expires_at = now + grantor_length(grant_lifetime)};
+    granted = {.operations = claim.held + claim.running, .expires_at = now + grantor_lease_duration(grant_lifetime)};
     refill(a, w, capacity, now);
     a.tokens = std::min(a.tokens + claim.returned, capacity);
     rate_grant grant{.workspace = claim.workspace};
@@ -107,7 +107,7 @@
     }
     last = {.incarnation = r.incarnation, .seq = r.seq};
     std::erase_if(l.accounts, [&t](const auto& a) { return find_workspace(t, a.first) == nullptr; });
-    const bool prior_grants_expired = rules.prior_grants_expired || now - l.term_started_at >= grantor_length(grant_lifetime);
+    const bool prior_grants_expired = rules.prior_grants_expired || now - l.term_started_at >= grantor_lease_duration(grant_lifetime);
     for (const rate_claim& claim : r.claims) {
         const workspace_entry* w = find_workspace(t, claim.workspace);
         if (w == nullptr || w->rate == 0) {
@@ -202,7 +202,7 @@
 }
 
 void apply_grant(rate_holding& h, const rate_grant& g, time_point sent) {
-    h.expires_at = sent + holder_length(grant_lifetime);
+    h.expires_at = sent + holder_lease_duration(grant_lifetime);
     const unsigned paid = std::min(h.debt, g.operations);
     h.debt -= paid;
     h.held += g.operations - paid;
--- a/src/daemon/agent.cpp
+++ b/src/daemon/agent.cpp
@@ -261,7 +261,7 @@
     const duration usual_interval = config_.lease / renewals_per_lease;
     renewal_interval_ = std::clamp(reply.renew_after, usual_interval, usual_interval * 2);
     add_grant(lease_, sent, reply.lease, reply.revision, cluster_.revision);
-    note_current(leave_times_, reply.revision, sent);
+    record_answered_renewal(leave_times_, reply.revision, sent);
     if (leader_term_of(reply.seq) != leader_term_of(last_reply_seq_)) {
         renew_soon(); // a new leader shares connections out once it knows that all go by its word
     }
@@ -291,7 +291,7 @@
 
 void agent::stop(std::function<void()> done) {
     stopping_ = true;
-    drop_lease(lease_);
+    release_lease(lease_);
     follow_lease();
     wire::renewal m;
     to_wire(make_renewal(), m);
@@ -328,7 +328,7 @@
     const revision_number before = cluster_.revision;
     const bool is_awaited = apply_reply(m);
     if (cluster_.revision > before) {
-        note_applied(lease_, cluster_.revision);
+        record_applied(lease_, cluster_.revision);
         if (is_awaited) {
             renew_soon(); // others may be waiting for this confirmation
         }
@@ -416,8 +416,8 @@
 // Whether this instance knew, and from when on, is the first question about a request that went to a leaving
 // server.
 void agent::learn_leaving(revision_number first_new) {
-    for (const server_id& id : follow_leaving(leave_times_, cluster_, first_new)) {
-        const std::optional<time_point> since = leave_times_.leaves.at(id).since;
+    for (const server_id& id : update_leaving_servers(leave_times_, cluster_, first_new)) {
+        const std::optional<time_point> since = leave_times_.leaves.at(id).earliest_ack;
         const duration ago = since ? now() - *since : config_.leave_time;
         log_event(severity::info, "leaving_learned",
                   {{"server", id.value},
@@ -429,7 +429,7 @@
 }
 
 bool agent::is_leave_over(const server_id& server) const {
-    return larchpin::is_leave_over(leave_times_, server, config_.leave_time, now());
+    return larchpin::leave_time_has_expired(leave_times_, server, config_.leave_time, now());
 }
 
 //-----------------------------------------------------------------------------
--- a/src/daemon/agent.hpp
+++ b/src/daemon/agent.hpp
@@ -226,7 +226,7 @@
     std::map<server_id, probed_server> probed_;
     std::map<server_id, heard_announcement> announced_;
     std::vector<awaited_agreement> awaited_;
-    leave_times leave_times_;
+    leave_deadlines leave_times_;
     std::map<server_id, std::uint64_t> starts_; // by control's number, of the servers in the copy
     std::map<server_id, server_health> health_;
     std::map<server_id, reachability> reach_;
--- a/src/daemon/agent_servers.cpp
+++ b/src/daemon/agent_servers.cpp
@@ -327,10 +327,10 @@
                                           // much older than our question.
                                           const duration told{static_cast<std::int64_t>(e.age_ns())};
                                           take_sample({e.server()}, e.is_primary(),
-                                                      {.not_before = at - grantor_length(told),
+                                                      {.not_before = at - grantor_lease_duration(told),
                                                        .timeline = e.timeline(),
                                                        .position = e.position()},
-                                                      now() - holder_length(told));
+                                                      now() - holder_lease_duration(told));
                                       }
                                   });
     }
--- a/src/daemon/consensus_log.cpp
+++ b/src/daemon/consensus_log.cpp
@@ -13,7 +13,7 @@
 
 std::string_view to_string(raft::refusal_reason reason) {
     switch (reason) {
-    case raft::refusal_reason::hears_leader: return "hears a leader";
+    case raft::refusal_reason::leader_active: return "hears a leader";
     case raft::refusal_reason::older_term: return "older term";
     case raft::refusal_reason::older_log: return "older log";
     case raft::refusal_reason::voted_for_another: return "voted for another";
--- a/src/daemon/control_node.cpp
+++ b/src/daemon/control_node.cpp
@@ -101,7 +101,7 @@
         .id = found.node, .name = config_.id.value, .address = config_.peer_address, .voter = false};
     core_ = make_control_core(codec, self, timing, decisions, found.state, now(), random_);
     core_.snapshot_entries = config_.snapshot_entries;
-    core_.wanted_voters = voters_for_losses(config_.tolerated_losses);
+    core_.target_voters = voters_for_tolerated_losses(config_.tolerated_losses);
     log_event(severity::info, "control_started",
               {{"node", found.node},
                {"new_identity", found.is_new},
@@ -172,7 +172,7 @@
 // Does what the core has asked for since the last time.
 void control_node::pump() {
     control_output out = take_output(core_);
-    raft::output& log = out.log;
+    raft::output& log = out.consensus;
     for (const raft::vote_refusal& refusal : log.refusals) {
         log_refusal(refusal, core_.consensus);
     }
@@ -185,7 +185,7 @@
             write_next();
         }
     }
-    for (const decided_edit& edit : out.decided) {
+    for (const decided_edit& edit : out.decided_edits) {
         note_decided(edit);
     }
     if (out.state_changed) {
@@ -243,7 +243,7 @@
         log_event(severity::info, "control_log_rewritten");
     }
     for (const raft::output& out : *batch) {
-        persisted(core_, out.persist_index, out.persist_term, now());
+        on_persisted(core_, out.persist_index, out.persist_term, now());
         send_messages(out.messages);
     }
     pump();
@@ -426,7 +426,7 @@
     if (connection) {
         asio::post(io_, [connection] { connection->close(); });
     }
-    server_answered(core_, answer, now());
+    handle_server_answer(core_, answer, now());
     pump();
 }
 
@@ -437,7 +437,7 @@
 // A node that is in no configuration asks the others to take it in. It never starts a cluster by itself:
 // that is an operator's word, since an empty folder cannot tell a first start from a lost disk.
 void control_node::ask_to_join() {
-    if (!wants_to_join(core_, now()) || now() < next_join_at_) {
+    if (!should_join(core_, now()) || now() < next_join_at_) {
         return;
     }
     next_join_at_ = now() + join_interval;
@@ -495,7 +495,7 @@
     if (granted) {
         to_wire(*granted, reply);
     } else {
-        const duration pause = leader_search_pause(search_pause, core_.cluster.instances.size());
+        const duration pause = leader_search_backoff(search_pause, core_.cluster.instances.size());
         reply.set_code(static_cast<std::uint32_t>(result_code::not_leader));
         reply.set_leader_address(leader_address());
         reply.set_renew_after_us(
@@ -511,7 +511,7 @@
         reply.set_code(static_cast<std::uint32_t>(result_code::bad_message));
         return reply.SerializeAsString();
     }
-    if (const auto grants = give_operations(core_, from_wire(request), now())) {
+    if (const auto grants = grant_operations(core_, from_wire(request), now())) {
         to_wire(*grants, reply);
         reply.set_leader_term(core_.control.leader_term);
     } else {
@@ -570,11 +570,11 @@
         reply(result_code::bad_message, "");
         return;
     }
-    if (!may_lead(core_, now())) {
+    if (!is_active_leader(core_, now())) {
         reply(result_code::not_leader, leader_address());
         return;
     }
-    if (!keeps_changes(core_)) {
+    if (!has_enough_voters(core_)) {
         reply(result_code::no_quorum, "fewer voters than the losses to be borne ask for");
         return;
     }
@@ -608,7 +608,7 @@
     open.swap(edits_);
     for (waiting_edit& w : open) {
         const bool refused = w.applied && w.outcome.code != result_code::ok;
-        const bool in_force = w.applied && may_lead(core_, at) &&
+        const bool in_force = w.applied && is_active_leader(core_, at) &&
                               is_in_force(core_.control, core_.cluster, w.outcome.revision, at);
         std::string reply;
         if (refused || (w.applied && (!w.until_in_force || in_force))) {
@@ -639,7 +639,7 @@
 
 std::string control_node::answer_document() {
     wire::document_reply reply;
-    if (!may_lead(core_, now())) {
+    if (!is_active_leader(core_, now())) {
         reply.set_code(static_cast<std::uint32_t>(result_code::not_leader));
         reply.set_leader(leader_address());
         return reply.SerializeAsString();
@@ -653,7 +653,7 @@
 
 std::string control_node::answer_status() {
     wire::status_reply reply;
-    if (!may_lead(core_, now())) {
+    if (!is_active_leader(core_, now())) {
         reply.set_code(static_cast<std::uint32_t>(result_code::not_leader));
         reply.set_leader(leader_address());
         return reply.SerializeAsString();
@@ -701,7 +701,7 @@
         to_wire(member, *m);
         const auto p = core_.consensus.peers.find(member.id);
         const bool heard = p != core_.consensus.peers.end() && p->second.acked &&
-                           now() - p->second.acked_sent_at <= core_.consensus.config.election_timeout;
+                           now() - p->second.acked_round_sent_at <= core_.consensus.config.election_timeout;
         m->set_silent(member.id != core_.self.id && !heard);
     }
     constexpr std::size_t shown_changes = 20;
--- a/src/daemon/server_loads.cpp
+++ b/src/daemon/server_loads.cpp
@@ -89,14 +89,14 @@
                      .response_time = from_us(told.usual_us()),
                      .queue_delay = from_us(told.wait_us()),
                      .failure_ratio = std::clamp(told.failed_percent() / 100.0, 0.0, 1.0),
-                     .as_of = told_at - grantor_length(from_us(told.age_us()))};
+                     .as_of = told_at - grantor_lease_duration(from_us(told.age_us()))};
     if (told.has_position()) {
         const duration age = from_us(told.position_age_us());
-        load.position = position_sample{.not_before = sent - grantor_length(age),
+        load.position = position_sample{.not_before = sent - grantor_lease_duration(age),
                                         .timeline = told.timeline(),
                                         .position = told.position()};
         cluster_.note_told_position(load.server, told.start_number(), *load.position,
-                                    now() - holder_length(age));
+                                    now() - holder_lease_duration(age));
     }
     update_load(book_, load);
 }
@@ -221,7 +221,7 @@
         return excess;
     }
     record_round_trip_delay(book_, key.server, excess);
-    const time_point told_at = sent + holder_length(held);
+    const time_point told_at = sent + holder_lease_duration(held);
     for (const wire::server_load& told : reply.loads()) {
         take_one(told, sent, told_at);
     }
--- a/src/daemon/watch_replies.cpp
+++ b/src/daemon/watch_replies.cpp
@@ -43,7 +43,7 @@
     }
     const std::size_t instances = core.cluster.instances.size();
     const bool is_urgent = applied < core.urgent_revision;
-    const duration interval = is_urgent ? urgent_news_interval(instances) : news_interval(instances);
+    const duration interval = is_urgent ? urgent_notification_interval(instances) : notification_interval(instances);
     return applied == 0 || now - last_news >= interval;
 }
 
@@ -53,12 +53,12 @@
     if (applied >= core.cluster.revision) {
         return reply.SerializeAsString(); // no news; this node may even be behind the asker
     }
-    const bool have_all = !core.recent.empty() && core.recent.front().index <= applied + 1;
+    const bool have_all = !core.recent_entries.empty() && core.recent_entries.front().index <= applied + 1;
     if (!have_all) {
         return make_whole(core, whole);
     }
     std::size_t bytes = 0;
-    for (const raft::entry& e : core.recent) {
+    for (const raft::entry& e : core.recent_entries) {
         if (e.index > applied && reply.entries_size() < max_watch_entries) {
             add_without_document(e, reply);
             bytes += static_cast<std::size_t>(reply.entries(reply.entries_size() - 1).command().size());
--- a/tests/cluster_fuzz_test.cpp
+++ b/tests/cluster_fuzz_test.cpp
@@ -22,8 +22,8 @@
             .daemon_freeze = 0.0005,
             .server_crash = 0.0005,
             .server_freeze = 0.0005,
-            .cut = 0.0005,
-            .peer_cut = 0.0005};
+            .partition = 0.0005,
+            .peer_partition = 0.0005};
 }
 
 // Runs the property over seeds that RapidCheck chooses (RC_PARAMS fixes its own seed in CI).
@@ -54,8 +54,8 @@
 
 // Breaks one rule and expects the model to notice within some seeds.
 void expect_violation(const fault_rates& rates, const broken_rules& broken) {
-    constexpr std::uint64_t most_seeds = 400;
-    for (std::uint64_t seed = 1; seed <= most_seeds; ++seed) {
+    constexpr std::uint64_t max_seeds = 400;
+    for (std::uint64_t seed = 1; seed <= max_seeds; ++seed) {
         cluster_model model(seed, rates, broken);
         const std::string violation = model.run(steps);
         if (!violation.empty()) {
@@ -91,8 +91,8 @@
 TEST(cluster_fuzz, holds_when_control_is_cut_and_frozen) {
     fault_rates rates = all_faults();
     rates.control_freeze = 0.003;
-    rates.cut = 0.003;
-    rates.peer_cut = 0.003;
+    rates.partition = 0.003;
+    rates.peer_partition = 0.003;
     expect_no_violation(rates, "cut control");
 }
 
@@ -102,8 +102,8 @@
     rates.controls = 6;
     rates.tolerated_losses = 2;
     rates.control_freeze = 0.002;
-    rates.cut = 0.002;
-    rates.peer_cut = 0.002;
+    rates.partition = 0.002;
+    rates.peer_partition = 0.002;
     rates.lost_disk = 0.001;
     expect_no_violation(rates, "standing by");
 }
@@ -118,7 +118,7 @@
         cluster_model model(seed, rates, {});
         const std::string violation = model.run(steps);
         RC_ASSERT(violation == std::string{});
-        const std::string not_recovered = model.run_closing_loss();
+        const std::string not_recovered = model.run_power_loss();
         RC_ASSERT(not_recovered == std::string{});
     }));
 }
@@ -127,7 +127,7 @@
     fault_rates rates = all_faults();
     rates.controls = 4;
     rates.tolerated_losses = 1;
-    rates.cut = 0.003;
+    rates.partition = 0.003;
     expect_no_violation(rates, "one standing by");
 }
 
@@ -135,7 +135,7 @@
 TEST(cluster_fuzz, holds_when_servers_leave_and_start_again) {
     fault_rates rates = all_faults();
     rates.leave = 0.01;
-    rates.cut = 0.002;
+    rates.partition = 0.002;
     expect_no_violation(rates, "servers leave");
 }
 
@@ -143,7 +143,7 @@
 TEST(cluster_fuzz, heals_where_the_only_holder_of_the_log_leaves) {
     fault_rates rates = all_faults();
     rates.leave = 0.01;
-    rates.cut = 0.002;
+    rates.partition = 0.002;
     cluster_model model(8914, rates, {});
     EXPECT_EQ(model.run(steps), "");
     EXPECT_EQ(model.run_until_healthy(), "");
@@ -166,7 +166,7 @@
 TEST(cluster_fuzz, a_renewal_that_was_overtaken_gives_no_share_away) {
     fault_rates rates = all_faults();
     rates.leave = 0.01;
-    rates.cut = 0.002;
+    rates.partition = 0.002;
     cluster_model model(72, rates, {});
     EXPECT_EQ(model.run(300), "");
 }
@@ -195,7 +195,7 @@
 TEST(cluster_fuzz, notices_leaving_that_was_acknowledged_from_memory) {
     fault_rates rates = all_faults();
     rates.leave = 0.01;
-    rates.cut = 0.002;
+    rates.partition = 0.002;
     expect_violation(rates, {.leaving_acked_from_memory = true});
 }
 
@@ -212,12 +212,12 @@
 
 TEST(cluster_fuzz, notices_a_leader_that_acts_without_its_lease) {
     const fault_rates rates{
-        .loss = 0, .repeat = 0, .max_delay_ms = 10, .server_crash = 0.01, .peer_cut = 0.004};
+        .loss = 0, .repeat = 0, .max_delay_ms = 10, .server_crash = 0.01, .peer_partition = 0.004};
     expect_violation(rates, {.leader_without_lease = true});
 }
 
 TEST(cluster_fuzz, notices_a_lost_disk_that_votes_again) {
-    const fault_rates rates{.loss = 0.1, .control_crash = 0.003, .lost_disk = 0.002, .peer_cut = 0.002};
+    const fault_rates rates{.loss = 0.1, .control_crash = 0.003, .lost_disk = 0.002, .peer_partition = 0.002};
     expect_violation(rates, {.lost_disk_keeps_identity = true});
 }
 
--- a/tests/cluster_losses.cpp
+++ b/tests/cluster_losses.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 constexpr duration catch_up_time = std::chrono::seconds{6}; // after a loss, before it counts no more
-constexpr int longest_loss_ms = 5000;
+constexpr int max_loss_ms = 5000;
 
 } // namespace
 
@@ -17,11 +17,11 @@
         controls_.begin(), controls_.end(), [this](const auto& c) { return !c.up || now_ < c.lost_until; }));
 }
 
-void cluster_model::end_stops() {
+void cluster_model::restart_stopped_controls() {
     for (std::size_t i = 0; i < controls_.size(); ++i) {
         model_control& c = controls_[i];
-        if (!c.up && c.start_at != time_point{} && now_ >= c.start_at) {
-            c.start_at = {};
+        if (!c.up && c.restart_at != time_point{} && now_ >= c.restart_at) {
+            c.restart_at = {};
             start_control(i, false);
         }
     }
@@ -29,7 +29,7 @@
 
 bool cluster_model::has_all_voters() const {
     return std::any_of(controls_.begin(), controls_.end(), [this](const model_control& c) {
-        return c.up && may_lead(c.core, clock_of(c)) && keeps_changes(c.core);
+        return c.up && is_active_leader(c.core, clock_of(c)) && has_enough_voters(c.core);
     });
 }
 
@@ -38,23 +38,23 @@
     if (!founded_ || !chance(rates_.tolerated_loss) || count_lost() >= rates_.tolerated_losses) {
         return;
     }
-    const auto i = static_cast<std::size_t>(number(rates_.controls - 1));
+    const auto i = static_cast<std::size_t>(random_up_to(rates_.controls - 1));
     model_control& c = controls_[i];
     if (!c.up || now_ < c.lost_until) {
         return;
     }
-    ++silences;
-    const time_point until = now_ + duration{std::chrono::milliseconds{number(longest_loss_ms)}};
+    ++outages;
+    const time_point until = now_ + duration{std::chrono::milliseconds{random_up_to(max_loss_ms)}};
     c.lost_until = until + catch_up_time;
     enum kind { stop, freeze, cut, cut_from_peers, lose_disk, kinds };
-    switch (number(kinds - 1)) {
+    switch (random_up_to(kinds - 1)) {
     case stop:
         stop_control(i);
-        c.start_at = until;
+        c.restart_at = until;
         break;
     case freeze: c.frozen_until = until; break;
-    case cut: c.cut_until = until; break;
-    case cut_from_peers: c.peer_cut_until = until; break;
+    case cut: c.partitioned_until = until; break;
+    case cut_from_peers: c.peer_partitioned_until = until; break;
     default:
         ++disks_lost;
         stop_control(i);
@@ -65,16 +65,16 @@
     }
 }
 
-bool cluster_model::knows_all_edits(const control_core& core) const {
+bool cluster_model::has_all_decided_edits(const control_core& core) const {
     return std::all_of(decided_.begin(), decided_.end(), [&core](const auto& edit) {
         return edit.second.revision <= core.cluster.revision && find_change(core.cluster, edit.first);
     });
 }
 
-std::string cluster_model::run_closing_loss() {
+std::string cluster_model::run_power_loss() {
     rates_.tolerated_loss = 0;
     while (violation_.empty() && count_lost() > 0) {
-        end_stops();
+        restart_stopped_controls();
         step();
     }
     const std::size_t decided = decided_.size();
@@ -94,14 +94,14 @@
         const bool empty_disk = n < rates_.tolerated_losses;
         disks_lost += empty_disk ? 1 : 0;
         start_control(order[n], empty_disk);
-        controls_[order[n]].frozen_until = now_ + duration{std::chrono::milliseconds{number(300)}};
+        controls_[order[n]].frozen_until = now_ + duration{std::chrono::milliseconds{random_up_to(300)}};
     }
     std::string not_recovered = run_until_healthy();
     if (!not_recovered.empty()) {
         return not_recovered;
     }
     const bool kept = std::any_of(controls_.begin(), controls_.end(), [this](const model_control& c) {
-        return may_lead(c.core, clock_of(c)) && knows_all_edits(c.core);
+        return is_active_leader(c.core, clock_of(c)) && has_all_decided_edits(c.core);
     });
     return kept ? "" : "a decided edit is gone";
 }
--- a/tests/cluster_model.cpp
+++ b/tests/cluster_model.cpp
@@ -14,7 +14,7 @@
 constexpr int daemon_count = 4;
 constexpr int server_count = 3;
 constexpr unsigned connection_limit = 6;
-constexpr std::uint64_t looked_back = 20; // committed entries compared in each step
+constexpr std::uint64_t checked_entries = 20; // committed entries compared in each step
 const group_id the_group{"g"};
 const service_id the_service{"shop"};
 const share_key the_key{.service = the_service, .server = {"s0"}};
@@ -45,7 +45,7 @@
     return std::uniform_real_distribution<double>(0, 1)(random_) < p;
 }
 
-int cluster_model::number(int highest) {
+int cluster_model::random_up_to(int highest) {
     return std::uniform_int_distribution<int>(0, highest)(random_);
 }
 
@@ -59,19 +59,19 @@
            duration{static_cast<std::int64_t>(static_cast<double>(now_.count()) * d.clock_rate)};
 }
 
-void cluster_model::violate(const std::string& what) {
+void cluster_model::record_violation(const std::string& what) {
     if (violation_.empty()) {
         violation_ = what + " at " + std::to_string(now_.count() / 1'000'000) + " ms";
     }
 }
 
-void cluster_model::deliver_later(const delivery& what) {
+void cluster_model::schedule_delivery(const delivery& what) {
     if (chance(rates_.loss)) {
         return;
     }
-    queue_.emplace(now_ + ms(1 + number(rates_.max_delay_ms)), what);
+    queue_.emplace(now_ + ms(1 + random_up_to(rates_.max_delay_ms)), what);
     if (chance(rates_.repeat)) {
-        queue_.emplace(now_ + ms(1 + number(rates_.max_delay_ms * 4)), what);
+        queue_.emplace(now_ + ms(1 + random_up_to(rates_.max_delay_ms * 4)), what);
     }
 }
 
@@ -96,12 +96,12 @@
     const raft::member self{.id = id, .name = c.name, .address = c.name, .voter = false};
     c.core = make_control_core(codec, self, timing, control_settings{}, from, clock_of(c), random_);
     c.core.snapshot_entries = 40;
-    c.core.wanted_voters = voters_for_losses(rates_.tolerated_losses);
+    c.core.target_voters = voters_for_tolerated_losses(rates_.tolerated_losses);
     c.up = true;
-    ++c.life;
+    ++c.incarnation;
     c.sync_free_at = now_;
     // The founder tries again where it ended before anything was on its disk.
-    const bool is_first_life = c.life == 1;
+    const bool is_first_life = c.incarnation == 1;
     if (id == founder_ && !is_first_life) {
         bootstrap(c.core, clock_of(c), random_);
     }
@@ -109,15 +109,15 @@
 
 void cluster_model::stop_control(std::size_t i) {
     controls_[i].up = false;
-    ++controls_[i].life;
+    ++controls_[i].incarnation;
 }
 
-void cluster_model::pump_control(std::size_t i) {
+void cluster_model::process_control_output(std::size_t i) {
     control_output out = take_output(controls_[i].core);
-    for (const decided_edit& e : out.decided) {
+    for (const decided_edit& e : out.decided_edits) {
         const auto [known, first] = decided_.emplace(e.change_id, e.outcome);
         if (!first && known->second != e.outcome) {
-            violate("edit " + e.change_id + " decided twice");
+            record_violation("edit " + e.change_id + " decided twice");
         }
     }
     bool planned = false; // the order that follows, as the note before it says
@@ -138,63 +138,63 @@
             server_operation(i, promote->operation, promote->server.id, promote->timeline);
         }
     }
-    if (out.log.records.empty() && out.log.messages.empty()) {
+    if (out.consensus.records.empty() && out.consensus.messages.empty()) {
         return;
     }
     model_control& c = controls_[i];
-    c.sync_free_at = std::max(c.sync_free_at, now_) + (out.log.records.empty() ? duration{0} : ms(number(4)));
-    queue_.emplace(c.sync_free_at, [this, i, life = c.life, log = out.log] {
+    c.sync_free_at = std::max(c.sync_free_at, now_) + (out.consensus.records.empty() ? duration{0} : ms(random_up_to(4)));
+    queue_.emplace(c.sync_free_at, [this, i, life = c.incarnation, log = out.consensus] {
         model_control& self = controls_[i];
-        if (self.life != life || !self.up) {
+        if (self.incarnation != life || !self.up) {
             return; // what was not synced is lost with the process
         }
         self.disk.insert(self.disk.end(), log.records.begin(), log.records.end());
-        persisted(self.core, log.persist_index, log.persist_term, clock_of(self));
+        on_persisted(self.core, log.persist_index, log.persist_term, clock_of(self));
         for (const raft::message& m : log.messages) {
             for (std::size_t to = 0; to < controls_.size(); ++to) {
-                if (controls_[to].core.self.id == m.to && now_ >= self.cut_until &&
-                    now_ >= self.peer_cut_until) {
-                    deliver_later([this, to, m] {
+                if (controls_[to].core.self.id == m.to && now_ >= self.partitioned_until &&
+                    now_ >= self.peer_partitioned_until) {
+                    schedule_delivery([this, to, m] {
                         model_control& target = controls_[to];
-                        if (runs(target) && now_ >= target.cut_until && now_ >= target.peer_cut_until) {
+                        if (is_running(target) && now_ >= target.partitioned_until && now_ >= target.peer_partitioned_until) {
                             larchpin::step(target.core, m, clock_of(target), random_);
-                            pump_control(to);
+                            process_control_output(to);
                         }
                     });
                 }
             }
         }
-        pump_control(i);
+        process_control_output(i);
     });
 }
 
 void cluster_model::run_control(std::size_t i) {
     model_control& c = controls_[i];
-    if (!runs(c) || now_ < c.next_tick) {
+    if (!is_running(c) || now_ < c.next_tick) {
         return;
     }
     c.next_tick = now_ + ms(10);
     tick(c.core, clock_of(c), random_);
-    if (wants_to_join(c.core, clock_of(c)) && now_ >= c.next_join && now_ >= c.cut_until) {
+    if (should_join(c.core, clock_of(c)) && now_ >= c.next_join && now_ >= c.partitioned_until) {
         c.next_join = now_ + ms(200);
         const raft::member self = c.core.self;
-        const auto to = static_cast<std::size_t>(number(rates_.controls - 1));
-        deliver_later([this, to, self] {
-            if (runs(controls_[to]) && now_ >= controls_[to].cut_until) {
+        const auto to = static_cast<std::size_t>(random_up_to(rates_.controls - 1));
+        schedule_delivery([this, to, self] {
+            if (is_running(controls_[to]) && now_ >= controls_[to].partitioned_until) {
                 join(controls_[to].core, self, clock_of(controls_[to]));
-                pump_control(to);
+                process_control_output(to);
             }
         });
     }
-    pump_control(i);
+    process_control_output(i);
 }
 
 void cluster_model::server_operation(std::size_t control, std::uint64_t operation, const server_id& id,
                                      std::uint64_t promote_from) {
-    deliver_later([this, control, operation, id, promote_from] {
+    schedule_delivery([this, control, operation, id, promote_from] {
         const auto s = std::find_if(servers_.begin(), servers_.end(),
                                     [&id](const auto& m) { return m.record.id == id; });
-        if (!runs(*s) || now_ < controls_[control].cut_until) {
+        if (!is_running(*s) || now_ < controls_[control].partitioned_until) {
             return;
         }
         if (!s->is_primary && s->timeline == promote_from) {
@@ -207,26 +207,26 @@
                                    .is_primary = s->is_primary,
                                    .timeline = s->timeline,
                                    .position = s->writes.size()};
-        deliver_later([this, control, answer] {
+        schedule_delivery([this, control, answer] {
             model_control& c = controls_[control];
-            if (runs(c) && now_ >= c.cut_until) {
-                server_answered(c.core, answer, clock_of(c));
-                pump_control(control);
+            if (is_running(c) && now_ >= c.partitioned_until) {
+                handle_server_answer(c.core, answer, clock_of(c));
+                process_control_output(control);
             }
         });
     });
 }
 
 void cluster_model::propose_random_edit() {
-    const auto i = static_cast<std::size_t>(number(rates_.controls - 1));
+    const auto i = static_cast<std::size_t>(random_up_to(rates_.controls - 1));
     model_control& c = controls_[i];
-    if (!runs(c) || !may_lead(c.core, clock_of(c))) {
+    if (!is_running(c) || !is_active_leader(c.core, clock_of(c))) {
         return;
     }
     edit_table edit;
     const bool resend = next_edit_ > 1 && chance(0.3);
     const std::uint64_t n =
-        resend ? 1 + static_cast<std::uint64_t>(number(static_cast<int>(next_edit_) - 2)) : next_edit_++;
+        resend ? 1 + static_cast<std::uint64_t>(random_up_to(static_cast<int>(next_edit_) - 2)) : next_edit_++;
     edit.change_id = "e" + std::to_string(n);
     // Sometimes from an old revision: of two edits on one revision only one may win.
     edit.expected_revision = c.core.cluster.table_revision;
@@ -240,7 +240,7 @@
     entry.background_share = 1 + static_cast<unsigned>(n % 100);
     edit.next.services = {entry};
     propose_edit(c.core, edit, clock_of(c));
-    pump_control(i);
+    process_control_output(i);
 }
 
 //-----------------------------------------------------------------------------
@@ -264,25 +264,25 @@
     if (from.cluster.revision <= d.copy.revision) {
         return;
     }
-    const bool has_all = !from.recent.empty() && from.recent.front().index <= d.copy.revision + 1;
+    const bool has_all = !from.recent_entries.empty() && from.recent_entries.front().index <= d.copy.revision + 1;
     if (!has_all) {
         const revision_number first_new = d.copy.revision + 1;
         d.copy = from.cluster;
-        follow_leaving(d.leaves, d.copy, first_new);
+        update_leaving_servers(d.leaves, d.copy, first_new);
     }
-    for (const raft::entry& e : from.recent) {
+    for (const raft::entry& e : from.recent_entries) {
         if (e.index == d.copy.revision + 1) {
             apply(d.copy, e.index, decode_command(e.command).value_or(std::monostate{}));
-            follow_leaving(d.leaves, d.copy, e.index);
+            update_leaving_servers(d.leaves, d.copy, e.index);
         }
     }
     acknowledge_leaving(d);
-    note_applied(d.lease, d.copy.revision);
+    record_applied(d.lease, d.copy.revision);
     d.next_renewal = now_;
 }
 
 bool cluster_model::accepts_acknowledgements(const model_daemon& d) const {
-    if (!runs(d) || (!lease_is_live(d.lease, clock_of(d)) && !broken_.ack_without_lease)) {
+    if (!is_running(d) || (!lease_is_live(d.lease, clock_of(d)) && !broken_.ack_without_lease)) {
         return false;
     }
     const auto group = d.copy.groups.find(the_group);
@@ -291,7 +291,7 @@
 
 void cluster_model::run_daemon(std::size_t i) {
     model_daemon& d = daemons_[i];
-    if (!runs(d)) {
+    if (!is_running(d)) {
         return;
     }
     const auto s0 = d.copy.servers.find(the_key.server);
@@ -309,7 +309,7 @@
         --d.open; // busy ones end in their own time
     }
     if (chance(0.05)) {
-        d.wanted = static_cast<unsigned>(number(static_cast<int>(connection_limit)));
+        d.wanted = static_cast<unsigned>(random_up_to(static_cast<int>(connection_limit)));
     }
     if (lease && chance(0.2)) {
         try_write(d);
@@ -331,16 +331,16 @@
     r.claims = {{.key = the_key, .in_effect = in_effect, .wanted = d.wanted}};
     for (const model_server& s : servers_) {
         r.observations.push_back({.server = s.record.id,
-                                  .alive = runs(s),
+                                  .alive = is_running(s),
                                   .is_primary = s.is_primary,
                                   .timeline = s.timeline,
                                   .position = s.writes.size()});
-        if (runs(s)) {
+        if (is_running(s)) {
             r.announcements.push_back({.record = s.record,
                                        .is_primary = s.is_primary,
                                        .timeline = s.timeline,
                                        .position = s.writes.size(),
-                                       .leaving = s.leaves});
+                                       .leaving = s.leaving});
         }
     }
     return r;
@@ -349,59 +349,59 @@
 void cluster_model::send_renewal(std::size_t i) {
     model_daemon& d = daemons_[i];
     const renewal r = make_renewal(d);
-    const std::size_t asked = d.asks;
+    const std::size_t asked = d.control_index;
     const time_point sent = clock_of(d);
-    d.asks = (d.asks + (chance(0.3) ? 1U : 0U)) % controls_.size();
-    deliver_later([this, i, asked, r, sent, control_life = controls_[asked].life] {
-        take_renewal(i, asked, r, sent, control_life);
+    d.control_index = (d.control_index + (chance(0.3) ? 1U : 0U)) % controls_.size();
+    schedule_delivery([this, i, asked, r, sent, control_life = controls_[asked].incarnation] {
+        receive_renewal(i, asked, r, sent, control_life);
     });
 }
 
-void cluster_model::take_renewal(std::size_t i, std::size_t asked, const renewal& r, time_point sent,
+void cluster_model::receive_renewal(std::size_t i, std::size_t asked, const renewal& r, time_point sent,
                                  std::uint64_t control_life) {
     model_control& c = controls_[asked];
-    if (!c.up || c.life != control_life || now_ < c.cut_until) {
+    if (!c.up || c.incarnation != control_life || now_ < c.partitioned_until) {
         return;
     }
-    if (!runs(c)) {
+    if (!is_running(c)) {
         // It lies in the frozen process's socket, and is read before the clock is looked at.
         queue_.emplace(c.frozen_until, [this, i, asked, r, sent, control_life] {
-            take_renewal(i, asked, r, sent, control_life);
+            receive_renewal(i, asked, r, sent, control_life);
         });
         return;
     }
     std::optional<renewal_reply> reply;
-    const bool may_be_replaced = c.core.control.leading && !may_lead(c.core, clock_of(c));
+    const bool may_be_replaced = c.core.control.leading && !is_active_leader(c.core, clock_of(c));
     if (broken_.leader_without_lease && may_be_replaced) {
         control_actions actions;
         reply = on_renewal(c.core.control, c.core.cluster, r, clock_of(c), actions);
     } else {
         reply = renew(c.core, r, clock_of(c));
     }
-    pump_control(asked);
-    deliver_later(
-        [this, i, asked, reply, sent, life = r.incarnation, copy = c.core.cluster, recent = c.core.recent] {
+    process_control_output(asked);
+    schedule_delivery(
+        [this, i, asked, reply, sent, life = r.incarnation, copy = c.core.cluster, recent = c.core.recent_entries] {
             model_daemon& self = daemons_[i];
-            if (!runs(self) || self.incarnation != life) {
+            if (!is_running(self) || self.incarnation != life) {
                 return;
             }
             control_core view; // what the watch returned at that time
             view.cluster = copy;
-            view.recent = recent;
+            view.recent_entries = recent;
             if (chance(0.7)) {
                 catch_up(self, view);
             }
-            take_reply(self, asked, reply, sent);
+            receive_reply(self, asked, reply, sent);
         });
 }
 
-void cluster_model::take_reply(model_daemon& d, std::size_t asked, const std::optional<renewal_reply>& reply,
+void cluster_model::receive_reply(model_daemon& d, std::size_t asked, const std::optional<renewal_reply>& reply,
                                time_point sent) {
     if (!reply || reply->code != result_code::ok) {
-        d.asks = (asked + 1) % controls_.size();
+        d.control_index = (asked + 1) % controls_.size();
         return;
     }
-    d.asks = asked;
+    d.control_index = asked;
     // Replies that overtook one another: an older one's shares count no more.
     if (reply->seq > d.last_seq) {
         d.last_seq = reply->seq;
@@ -411,7 +411,7 @@
     }
     const revision_number counts_from = broken_.grant_counts_at_once ? 0 : reply->revision;
     add_grant(d.lease, sent, reply->lease, counts_from, d.copy.revision);
-    note_current(d.leaves, reply->revision, sent);
+    record_answered_renewal(d.leaves, reply->revision, sent);
 }
 
 void cluster_model::try_write(model_daemon& d) {
@@ -423,14 +423,14 @@
     const term_number term = group->second.term;
     const server_id primary = group->second.primary;
     const auto i = static_cast<std::size_t>(&d - daemons_.data());
-    deliver_later([this, i, write, term, primary, life = d.incarnation] {
+    schedule_delivery([this, i, write, term, primary, life = d.incarnation] {
         const auto s = std::find_if(servers_.begin(), servers_.end(),
                                     [&primary](const auto& m) { return m.record.id == primary; });
-        if (!runs(*s) || !s->is_primary) {
+        if (!is_running(*s) || !s->is_primary) {
             return;
         }
         s->writes.push_back(write);
-        queue_.emplace(now_ + ms(1 + number(rates_.max_delay_ms * 3)), [this, i, write, term, life] {
+        queue_.emplace(now_ + ms(1 + random_up_to(rates_.max_delay_ms * 3)), [this, i, write, term, life] {
             model_daemon& self = daemons_[i];
             const auto record = self.copy.groups.find(the_group);
             const bool acked =
@@ -440,12 +440,12 @@
             }
             ++acknowledged;
             acknowledged_writes_.insert(write);
-            if (agreed_.groups.contains(the_group) && agreed_.groups.at(the_group).term > term) {
-                violate("write acknowledged by a replaced primary");
+            if (agreed_state_.groups.contains(the_group) && agreed_state_.groups.at(the_group).term > term) {
+                record_violation("write acknowledged by a replaced primary");
             }
             highest_acked_term_ = std::max(highest_acked_term_, term);
             if (term < highest_acked_term_) {
-                violate("write acknowledged in an older term than another");
+                record_violation("write acknowledged in an older term than another");
             }
         });
     });
@@ -457,18 +457,18 @@
 
 // Servers follow the record as the most advanced daemon with a lease would tell them.
 void cluster_model::replicate() {
-    const model_daemon* teller = nullptr;
+    const model_daemon* source = nullptr;
     for (const model_daemon& d : daemons_) {
-        if (runs(d) && lease_is_live(d.lease, clock_of(d)) &&
-            (teller == nullptr || d.copy.revision > teller->copy.revision)) {
-            teller = &d;
+        if (is_running(d) && lease_is_live(d.lease, clock_of(d)) &&
+            (source == nullptr || d.copy.revision > source->copy.revision)) {
+            source = &d;
         }
     }
-    if (teller == nullptr) {
+    if (source == nullptr) {
         return;
     }
-    const auto group = teller->copy.groups.find(the_group);
-    if (group == teller->copy.groups.end()) {
+    const auto group = source->copy.groups.find(the_group);
+    if (group == source->copy.groups.end()) {
         return;
     }
     const bool fenced = group->second.phase != group_phase::serving;
@@ -476,7 +476,7 @@
         return m.record.id == group->second.primary;
     });
     for (model_server& s : servers_) {
-        if (&s == &*primary || !runs(s) || !runs(*primary) || chance(0.5)) {
+        if (&s == &*primary || !is_running(s) || !is_running(*primary) || chance(0.5)) {
             continue;
         }
         // A fenced primary's log goes on to the others, but for who was promoted meanwhile.
@@ -490,7 +490,7 @@
         if (!prefix) {
             s.writes.clear();
         }
-        for (int n = number(3); n > 0 && s.writes.size() < primary->writes.size(); --n) {
+        for (int n = random_up_to(3); n > 0 && s.writes.size() < primary->writes.size(); --n) {
             s.writes.push_back(primary->writes[s.writes.size()]);
         }
     }
@@ -521,22 +521,22 @@
     for (std::size_t i = 0; i < controls_.size(); ++i) {
         model_control& c = controls_[i];
         if (c.up && chance(rates_.control_crash)) {
-            ++silences;
+            ++outages;
             stop_control(i);
-        } else if (!c.up && c.start_at == time_point{} && chance(0.01)) {
+        } else if (!c.up && c.restart_at == time_point{} && chance(0.01)) {
             start_control(i, false);
         }
         if (c.up && chance(rates_.control_freeze)) {
-            ++silences;
-            c.frozen_until = now_ + ms(number(4000));
+            ++outages;
+            c.frozen_until = now_ + ms(random_up_to(4000));
         }
-        if (chance(rates_.cut)) {
-            ++silences;
-            c.cut_until = now_ + ms(number(4000));
+        if (chance(rates_.partition)) {
+            ++outages;
+            c.partitioned_until = now_ + ms(random_up_to(4000));
         }
-        if (chance(rates_.peer_cut)) {
-            ++silences;
-            c.peer_cut_until = now_ + ms(number(4000));
+        if (chance(rates_.peer_partition)) {
+            ++outages;
+            c.peer_partitioned_until = now_ + ms(random_up_to(4000));
         }
         if (chance(rates_.lost_disk)) {
             if (majority_survives_without(c.core.self.id)) {
@@ -553,7 +553,7 @@
             start_daemon(i);
         }
         if (chance(rates_.daemon_freeze)) {
-            daemons_[i].frozen_until = now_ + ms(number(3000));
+            daemons_[i].frozen_until = now_ + ms(random_up_to(3000));
         }
     }
     for (model_server& s : servers_) {
@@ -563,22 +563,22 @@
             s.up = true;
         }
         if (chance(rates_.server_freeze)) {
-            s.frozen_until = now_ + ms(number(2000));
+            s.frozen_until = now_ + ms(random_up_to(2000));
         }
     }
     if (rates_.tolerated_loss > 0) {
-        end_stops();
+        restart_stopped_controls();
         inject_tolerated_loss();
     }
     if (chance(rates_.edit)) {
         propose_random_edit();
     }
     if (chance(rates_.switchover)) {
-        const auto i = static_cast<std::size_t>(number(rates_.controls - 1));
-        if (runs(controls_[i])) {
-            switch_over(controls_[i].core, the_group, {"s" + std::to_string(number(server_count - 1))},
+        const auto i = static_cast<std::size_t>(random_up_to(rates_.controls - 1));
+        if (is_running(controls_[i])) {
+            switch_over(controls_[i].core, the_group, {"s" + std::to_string(random_up_to(server_count - 1))},
                         clock_of(controls_[i]));
-            pump_control(i);
+            process_control_output(i);
         }
     }
 }
@@ -588,22 +588,22 @@
 //-----------------------------------------------------------------------------
 
 // One server at a time. It ends when its time is over and another one leads, and starts again under its id.
-void cluster_model::begin_or_end_leaving() {
-    const auto leaving =
-        std::find_if(servers_.begin(), servers_.end(), [](const model_server& s) { return s.leaves; });
-    if (leaving == servers_.end()) {
+void cluster_model::update_leaving_server() {
+    const auto server =
+        std::find_if(servers_.begin(), servers_.end(), [](const model_server& s) { return s.leaving; });
+    if (server == servers_.end()) {
         if (chance(rates_.leave)) {
-            servers_[static_cast<std::size_t>(number(static_cast<int>(servers_.size()) - 1))].leaves = true;
+            servers_[static_cast<std::size_t>(random_up_to(static_cast<int>(servers_.size()) - 1))].leaving = true;
         }
         return;
     }
-    const bool over = leaving->leave_acked_at && now_ > *leaving->leave_acked_at + leave_time * 2;
-    if (over && !leaving->is_primary && runs(*leaving)) {
-        leaving->leaves = false;
-        leaving->leave_acked_at.reset();
-        leaving->record.start_time_ms += 1'000;
-        leaving->writes.clear(); // it holds nothing of before
-        leaving->timeline = 1;
+    const bool over = server->leave_acked_at && now_ > *server->leave_acked_at + leave_time * 2;
+    if (over && !server->is_primary && is_running(*server)) {
+        server->leaving = false;
+        server->leave_acked_at.reset();
+        server->record.start_time_ms += 1'000;
+        server->writes.clear(); // it holds nothing of before
+        server->timeline = 1;
     }
 }
 
@@ -615,9 +615,9 @@
                             known->second.start_time_ms == s.record.start_time_ms;
         const bool answers =
             lease_is_live(d.lease, clock_of(d)) && (agreed || broken_.leaving_acked_from_memory);
-        if (s.leaves && !s.leave_acked_at && answers) {
+        if (s.leaving && !s.leave_acked_at && answers) {
             s.leave_acked_at = now_;
-            s.leave_acked_by = d.copy.revision;
+            s.leave_acked_revision = d.copy.revision;
             ++leaves_acked;
         }
     }
@@ -629,22 +629,22 @@
         if (!s.leave_acked_at) {
             continue;
         }
-        const auto known = agreed_.servers.find(s.record.id);
-        const bool same_start = known != agreed_.servers.end() && known->second.start_time_ms == s.record.start_time_ms;
+        const auto known = agreed_state_.servers.find(s.record.id);
+        const bool same_start = known != agreed_state_.servers.end() && known->second.start_time_ms == s.record.start_time_ms;
         // What the model has gathered of the log may be behind: whoever committed last may be down.
-        const bool gathered = agreed_.revision >= s.leave_acked_by;
+        const bool gathered = agreed_state_.revision >= s.leave_acked_revision;
         if (gathered && same_start && !known->second.leaving) {
-            violate("it was acknowledged to " + s.record.id.value + " that it leaves, and is forgotten");
+            record_violation("it was acknowledged to " + s.record.id.value + " that it leaves, and is forgotten");
         }
         if (now_ < *s.leave_acked_at + leave_time) {
             continue;
         }
         for (const model_daemon& d : daemons_) {
-            const bool sends = runs(d) && lease_is_live(d.lease, clock_of(d)) &&
+            const bool sends = is_running(d) && lease_is_live(d.lease, clock_of(d)) &&
                                d.copy.servers.contains(s.record.id) &&
-                               !is_leave_over(d.leaves, s.record.id, leave_time, clock_of(d));
+                               !leave_time_has_expired(d.leaves, s.record.id, leave_time, clock_of(d));
             if (sends) {
-                violate("a request may reach " + s.record.id.value + " after its time");
+                record_violation("a request may reach " + s.record.id.value + " after its time");
             }
         }
     }
@@ -665,7 +665,7 @@
     for (const std::uint64_t write : old.writes) {
         const bool acked = acknowledged_writes_.contains(write);
         if (acked && std::find(held.begin(), held.end(), write) == held.end()) {
-            violate("a planned switch to " + successor.value + " loses acknowledged writes");
+            record_violation("a planned switch to " + successor.value + " loses acknowledged writes");
         }
     }
 }
@@ -673,11 +673,11 @@
 void cluster_model::check_removals() {
     // Once a disk, give or take changes that a deposed leader proposed in vain.
     if (members_removed > disks_lost * 3) {
-        violate("members are removed over and over");
+        record_violation("members are removed over and over");
     }
     // Once a silence; the last one's change may have been proposed in vain, too.
-    if (silent_members_removed > silences * 2) {
-        violate("silent members are removed over and over");
+    if (silent_members_removed > outages * 2) {
+        record_violation("silent members are removed over and over");
     }
 }
 
@@ -687,25 +687,25 @@
         if (!c.up) {
             continue;
         }
-        leaders += runs(c) && may_lead(c.core, clock_of(c)) ? 1 : 0;
+        leaders += is_running(c) && is_active_leader(c.core, clock_of(c)) ? 1 : 0;
         const raft::state& s = c.core.consensus;
         for (std::uint64_t i =
-                 std::max(s.snap.index + 1, s.commit > looked_back ? s.commit - looked_back : 1);
+                 std::max(s.snap.index + 1, s.commit > checked_entries ? s.commit - checked_entries : 1);
              i <= s.commit; ++i) {
             const raft::entry& e = s.log[i - s.snap.index - 1];
             const auto [known, first] = committed_.emplace(i, e);
             if (!first && known->second != e) {
-                violate("two different entries committed at index " + std::to_string(i));
+                record_violation("two different entries committed at index " + std::to_string(i));
             }
         }
         for (const auto& [id, revision] : in_force_) {
             const bool knows =
                 c.core.cluster.revision < revision || find_change(c.core.cluster, id).has_value();
             if (!knows) {
-                violate("edit " + id + " was in force and is forgotten");
+                record_violation("edit " + id + " was in force and is forgotten");
             }
         }
-        if (!runs(c) || !may_lead(c.core, clock_of(c))) {
+        if (!is_running(c) || !is_active_leader(c.core, clock_of(c))) {
             continue;
         }
         for (const auto& [id, outcome] : decided_) {
@@ -718,14 +718,14 @@
         }
     }
     // The agreed state, from the committed entries alone.
-    while (committed_.contains(agreed_.revision + 1)) {
-        const raft::entry& e = committed_.at(agreed_.revision + 1);
-        apply(agreed_, e.index, decode_command(e.command).value_or(std::monostate{}));
+    while (committed_.contains(agreed_state_.revision + 1)) {
+        const raft::entry& e = committed_.at(agreed_state_.revision + 1);
+        apply(agreed_state_, e.index, decode_command(e.command).value_or(std::monostate{}));
     }
     check_removals();
     check_leaving();
     if (leaders > 1) {
-        violate("two control instances may lead at once");
+        record_violation("two control instances may lead at once");
     }
     revision_number newest_in_force = 0;
     for (const auto& [id, revision] : in_force_) {
@@ -734,27 +734,27 @@
     unsigned open = 0;
     std::map<term_number, int> accepted_terms;
     for (const model_daemon& d : daemons_) {
-        if (!runs(d)) {
+        if (!is_running(d)) {
             continue;
         }
         open += d.open;
         if (lease_is_live(d.lease, clock_of(d)) && d.copy.revision < newest_in_force) {
-            violate("an edit was called in force while a daemon acted on an older table");
+            record_violation("an edit was called in force while a daemon acted on an older table");
         }
         if (accepts_acknowledgements(d)) {
             ++accepted_terms[d.copy.groups.at(the_group).term];
         }
     }
     if (open > connection_limit) {
-        violate("more connections than the limit");
+        record_violation("more connections than the limit");
     }
     if (accepted_terms.size() > 1) {
-        violate("acknowledgements of two terms accepted at once");
+        record_violation("acknowledgements of two terms accepted at once");
     }
     std::map<revision_number, std::string> winners;
     for (const auto& [id, outcome] : decided_) {
         if (outcome.code == result_code::ok && !winners.emplace(outcome.table_revision, id).second) {
-            violate("two edits won one revision");
+            record_violation("two edits won one revision");
         }
     }
 }
@@ -766,8 +766,8 @@
 cluster_model::cluster_model(std::uint64_t seed, const fault_rates& rates, const broken_rules& broken)
     : random_(seed), rates_(rates), broken_(broken) {
     const auto clock = [this](auto& m) {
-        m.clock_rate = 1.0 + (number(80) - 40) / 10000.0; // any two differ by less than the drift bound
-        m.clock_offset = ms(number(100'000));
+        m.clock_rate = 1.0 + (random_up_to(80) - 40) / 10000.0; // any two differ by less than the drift bound
+        m.clock_offset = ms(random_up_to(100'000));
     };
     controls_.resize(static_cast<std::size_t>(rates_.controls));
     for (std::size_t i = 0; i < controls_.size(); ++i) {
@@ -776,7 +776,7 @@
         start_control(i, true);
     }
     bootstrap(controls_[0].core, clock_of(controls_[0]), random_);
-    pump_control(0);
+    process_control_output(0);
     daemons_.resize(daemon_count);
     for (std::size_t i = 0; i < daemons_.size(); ++i) {
         daemons_[i].id = {"i" + std::to_string(i)};
@@ -797,7 +797,7 @@
 }
 
 void cluster_model::step() {
-    now_ += ms(1 + number(9));
+    now_ += ms(1 + random_up_to(9));
     while (!queue_.empty() && queue_.begin()->first <= now_) {
         const delivery what = queue_.begin()->second;
         queue_.erase(queue_.begin());
@@ -810,7 +810,7 @@
         run_daemon(i);
     }
     replicate();
-    begin_or_end_leaving();
+    update_leaving_server();
     inject_faults();
     check();
 }
@@ -832,9 +832,9 @@
                          .switchover = 0};
     for (std::size_t i = 0; i < controls_.size(); ++i) {
         controls_[i].frozen_until = {};
-        controls_[i].cut_until = {};
-        controls_[i].peer_cut_until = {};
-        controls_[i].start_at = {};
+        controls_[i].partitioned_until = {};
+        controls_[i].peer_partitioned_until = {};
+        controls_[i].restart_at = {};
         if (!controls_[i].up) {
             start_control(i, false);
         }
@@ -862,7 +862,7 @@
         if (needs_vote && !raft::is_voter(members, c.core.self.id)) {
             return c.name + " has no vote after the faults have ended";
         }
-        if (!keeps_changes(c.core)) {
+        if (!has_enough_voters(c.core)) {
             return c.name + " knows too few voters after the faults have ended";
         }
     }
--- a/tests/cluster_model.hpp
+++ b/tests/cluster_model.hpp
@@ -31,8 +31,8 @@
     double daemon_freeze = 0.0;
     double server_crash = 0.0;
     double server_freeze = 0.0;
-    double cut = 0.0;      // of one control instance from everyone
-    double peer_cut = 0.0; // of one control instance from the other ones only
+    double partition = 0.0;      // of one control instance from everyone
+    double peer_partition = 0.0; // of one control instance from the other ones only
     // A control instance is stopped, frozen, cut off or loses its disk, while fewer than tolerated_losses are
     // lost: one is lost until catch_up after it is back.
     double tolerated_loss = 0.0;
@@ -57,16 +57,16 @@
     control_core core;
     std::vector<raft::record> disk;
     bool up = false;
-    std::uint64_t life = 0; // messages and syncs of earlier lives are dropped
+    std::uint64_t incarnation = 0; // messages and syncs of earlier lives are dropped
     double clock_rate = 1.0;
     time_point clock_offset{};
     time_point frozen_until{};
-    time_point cut_until{};
-    time_point peer_cut_until{};
+    time_point partitioned_until{};
+    time_point peer_partitioned_until{};
     time_point sync_free_at{};
     time_point next_tick{};
     time_point next_join{};
-    time_point start_at{}; // while stopped by a tolerated loss
+    time_point restart_at{}; // while stopped by a tolerated loss
     time_point lost_until{};
 };
 
@@ -77,7 +77,7 @@
     std::uint64_t incarnation = 0;
     cluster_state copy;
     lease_state lease;
-    leave_times leaves;
+    leave_deadlines leaves;
     std::uint64_t last_seq = 0;
     unsigned share = 0;
     unsigned open = 0; // connections
@@ -86,7 +86,7 @@
     time_point clock_offset{};
     time_point frozen_until{};
     time_point next_renewal{};
-    std::size_t asks = 0; // which control instance
+    std::size_t control_index = 0; // which control instance
 };
 
 struct model_server {
@@ -96,9 +96,9 @@
     std::uint64_t timeline = 1;
     std::vector<std::uint64_t> writes; // the log; its size is the position
     time_point frozen_until{};
-    bool leaves = false;
+    bool leaving = false;
     std::optional<time_point> leave_acked_at;
-    revision_number leave_acked_by = 0; // of the copy that it was acknowledged by
+    revision_number leave_acked_revision = 0; // of the copy that it was acknowledged by
 };
 
 class cluster_model {
@@ -110,7 +110,7 @@
     std::string run_until_healthy();
     // In the moment in which an edit is decided as many disks are lost as are tolerated, and all other
     // control instances lose power. Returns what does not recover, or nothing.
-    std::string run_closing_loss();
+    std::string run_power_loss();
 
     std::uint64_t failovers = 0;
     std::uint64_t planned_switches = 0;
@@ -121,7 +121,7 @@
     std::uint64_t disks_lost = 0;
     std::uint64_t members_removed = 0; // lost identities
     std::uint64_t silent_members_removed = 0;
-    std::uint64_t silences = 0; // control instances stopped, frozen or cut off
+    std::uint64_t outages = 0; // control instances stopped, frozen or cut off
 
 private:
     using delivery = std::function<void()>;
@@ -129,25 +129,25 @@
     void step();
     void inject_faults();
     void inject_tolerated_loss();
-    void end_stops();
+    void restart_stopped_controls();
     [[nodiscard]] std::size_t count_lost() const;
     [[nodiscard]] bool has_all_voters() const;
-    [[nodiscard]] bool knows_all_edits(const control_core& core) const;
+    [[nodiscard]] bool has_all_decided_edits(const control_core& core) const;
     void send(std::size_t control_a, std::size_t control_b, const delivery& what);
-    void deliver_later(const delivery& what);
+    void schedule_delivery(const delivery& what);
     void start_control(std::size_t i, bool empty_disk);
     void stop_control(std::size_t i);
     void run_control(std::size_t i);
-    void pump_control(std::size_t i);
+    void process_control_output(std::size_t i);
     void server_operation(std::size_t control, std::uint64_t operation, const server_id& id,
                           std::uint64_t promote_from);
     void start_daemon(std::size_t i);
     void run_daemon(std::size_t i);
     renewal make_renewal(const model_daemon& d) const;
     void send_renewal(std::size_t i);
-    void take_renewal(std::size_t i, std::size_t asked, const renewal& r, time_point sent,
+    void receive_renewal(std::size_t i, std::size_t asked, const renewal& r, time_point sent,
                       std::uint64_t control_life);
-    void take_reply(model_daemon& d, std::size_t asked, const std::optional<renewal_reply>& reply,
+    void receive_reply(model_daemon& d, std::size_t asked, const std::optional<renewal_reply>& reply,
                     time_point sent);
     void catch_up(model_daemon& d, const control_core& from);
     void replicate();
@@ -155,18 +155,18 @@
     void propose_random_edit();
     void check();
     void check_removals();
-    void begin_or_end_leaving();
+    void update_leaving_server();
     void acknowledge_leaving(const model_daemon& d);
     void check_leaving();
     void check_planned_switch(const server_id& primary, const server_id& successor);
-    void violate(const std::string& what);
+    void record_violation(const std::string& what);
     bool chance(double p);
-    int number(int highest);
+    int random_up_to(int highest);
     time_point clock_of(const model_control& c) const;
     time_point clock_of(const model_daemon& d) const;
-    bool runs(const model_control& c) const { return c.up && now_ >= c.frozen_until; }
-    bool runs(const model_daemon& d) const { return d.up && now_ >= d.frozen_until; }
-    bool runs(const model_server& s) const { return s.up && now_ >= s.frozen_until; }
+    bool is_running(const model_control& c) const { return c.up && now_ >= c.frozen_until; }
+    bool is_running(const model_daemon& d) const { return d.up && now_ >= d.frozen_until; }
+    bool is_running(const model_server& s) const { return s.up && now_ >= s.frozen_until; }
     bool majority_survives_without(raft::node_id lost) const;
     bool accepts_acknowledgements(const model_daemon& d) const;
 
@@ -179,7 +179,7 @@
     std::vector<model_server> servers_;
     std::multimap<time_point, delivery> queue_;
     std::map<std::uint64_t, raft::entry> committed_; // by index, as first seen
-    cluster_state agreed_;                           // made from them
+    cluster_state agreed_state_;                           // made from them
     std::map<std::string, change_outcome> decided_;
     std::map<std::string, revision_number> in_force_; // edits that an operator was told are in force
     term_number highest_acked_term_ = 0;
--- a/tests/control_test.cpp
+++ b/tests/control_test.cpp
@@ -223,7 +223,7 @@
             now += milliseconds{100};
             tick(core, now, random);
             const control_output out = take_output(core);
-            persisted(core, out.log.persist_index, out.log.persist_term, now);
+            on_persisted(core, out.consensus.persist_index, out.consensus.persist_term, now);
         }
     }
     void edit(const edit_table& e) {
@@ -269,10 +269,10 @@
     const control_core& c = site.core;
     site.edit(make_versioned(7, 5));
     ASSERT_EQ(c.cluster.document, "document 7");
-    for (const raft::entry& e : c.recent) {
+    for (const raft::entry& e : c.recent_entries) {
         EXPECT_EQ(e.command.find("document 7"), std::string::npos);
     }
-    EXPECT_EQ(c.recent.back().index, c.cluster.revision);
+    EXPECT_EQ(c.recent_entries.back().index, c.cluster.revision);
 }
 
 TEST(versioned_edits, a_route_must_name_a_service_and_a_time) {
@@ -911,10 +911,10 @@
         if (id > 1) {
             raft::progress& p = core.consensus.peers[id];
             p.acked = true;
-            p.acked_sent_at = now;
+            p.acked_round_sent_at = now;
         }
     }
-    void silence(raft::node_id id, duration time) { core.consensus.peers[id].acked_sent_at = now - time; }
+    void silence(raft::node_id id, duration time) { core.consensus.peers[id].acked_round_sent_at = now - time; }
     // Lets the leader change its members once, as if the change were committed at once.
     void run() {
         tick(core, now, random);
@@ -936,7 +936,7 @@
     s.core.consensus.current_role = raft::role::leader;
     s.core.control.leading = true;
     s.core.consensus.last_heartbeat = s.now;
-    s.core.wanted_voters = wanted_voters;
+    s.core.target_voters = wanted_voters;
     return s;
 }
 
@@ -948,14 +948,14 @@
     s.silence(4, std::chrono::seconds{10});
     s.run();
     EXPECT_TRUE(s.votes(4)) << "unless a number of voters is wanted, votes are kept";
-    s.core.wanted_voters = 3;
+    s.core.target_voters = 3;
     s.run();
     EXPECT_FALSE(s.knows(4));
     EXPECT_EQ(s.core.consensus.members.members.size(), 3U);
 }
 
 TEST(members, learners_stand_by_while_enough_voters_live) {
-    member_site s = make_members(voters_for_losses(1));
+    member_site s = make_members(voters_for_tolerated_losses(1));
     s.add(1, "a", true);
     s.add(2, "b", true);
     s.add(3, "c", true);
@@ -971,7 +971,7 @@
 }
 
 TEST(members, a_learner_of_the_failure_domain_with_the_fewest_voters_comes_first) {
-    member_site s = make_members(voters_for_losses(2));
+    member_site s = make_members(voters_for_tolerated_losses(2));
     s.add(1, "a", true);
     s.add(2, "a", true);
     s.add(3, "b", true);
@@ -984,29 +984,29 @@
 }
 
 TEST(members, no_change_is_taken_before_there_are_enough_voters) {
-    member_site s = make_members(voters_for_losses(2));
+    member_site s = make_members(voters_for_tolerated_losses(2));
     s.add(1, "a", true);
     s.add(2, "b", true);
     s.add(3, "c", true);
-    EXPECT_FALSE(keeps_changes(s.core)) << "two lost disks could take it away";
+    EXPECT_FALSE(has_enough_voters(s.core)) << "two lost disks could take it away";
     s.add(4, "a", true);
     s.add(5, "b", true);
-    EXPECT_TRUE(keeps_changes(s.core));
+    EXPECT_TRUE(has_enough_voters(s.core));
 }
 
 TEST(members, an_instance_that_hears_no_leader_asks_to_join_again) {
-    member_site s = make_members(voters_for_losses(1));
+    member_site s = make_members(voters_for_tolerated_losses(1));
     s.add(1, "a", true);
     s.add(2, "b", true);
-    EXPECT_FALSE(wants_to_join(s.core, s.now)) << "it leads";
+    EXPECT_FALSE(should_join(s.core, s.now)) << "it leads";
     s.core.consensus.current_role = raft::role::follower;
-    s.core.consensus.leader_heard_at = s.now;
-    EXPECT_FALSE(wants_to_join(s.core, s.now + std::chrono::seconds{1}));
-    EXPECT_TRUE(wants_to_join(s.core, s.now + std::chrono::seconds{10}));
+    s.core.consensus.last_leader_contact = s.now;
+    EXPECT_FALSE(should_join(s.core, s.now + std::chrono::seconds{1}));
+    EXPECT_TRUE(should_join(s.core, s.now + std::chrono::seconds{10}));
 }
 
 TEST(members, a_learner_that_is_gone_is_forgotten) {
-    member_site s = make_members(voters_for_losses(1));
+    member_site s = make_members(voters_for_tolerated_losses(1));
     s.add(1, "a", true);
     s.add(2, "b", true);
     s.add(3, "c", true);
--- a/tests/core_test.cpp
+++ b/tests/core_test.cpp
@@ -500,7 +500,7 @@
     const time_point sent{std::chrono::seconds{5}};
     add_grant(l, sent, std::chrono::seconds{1}, 7, 6);
     EXPECT_FALSE(lease_is_live(l, sent));
-    note_applied(l, 7);
+    record_applied(l, 7);
     EXPECT_TRUE(lease_is_live(l, sent + std::chrono::milliseconds{989}));
     EXPECT_FALSE(lease_is_live(l, sent + std::chrono::milliseconds{991}));
 }
@@ -511,8 +511,8 @@
         // The holder's clock runs slow, the grantor's fast, by the bound together.
         const double slow = 1.0 - clock_drift_bound / 2;
         const double fast = 1.0 + clock_drift_bound / 2;
-        const double holder_real = static_cast<double>(holder_length(nominal).count()) / slow;
-        const double grantor_real = static_cast<double>(grantor_length(nominal).count()) / fast;
+        const double holder_real = static_cast<double>(holder_lease_duration(nominal).count()) / slow;
+        const double grantor_real = static_cast<double>(grantor_lease_duration(nominal).count()) / fast;
         RC_ASSERT(holder_real < grantor_real);
     }));
 }
@@ -533,25 +533,25 @@
 }
 
 TEST(leave_times, count_from_the_last_renewal_before_control_agreed) {
-    leave_times t;
+    leave_deadlines t;
     const time_point start = std::chrono::seconds{100};
-    note_current(t, 4, start);
-    note_current(t, 4, start + std::chrono::seconds{1});
-    note_current(t, 6, start + std::chrono::seconds{2}); // control had agreed by then: it was revision 5
-    EXPECT_EQ(follow_leaving(t, state_with_server(true), 5), std::vector<server_id>{{"s1"}});
-    EXPECT_TRUE(follow_leaving(t, state_with_server(true), 7).empty()) << "learned once";
-    const time_point end = start + std::chrono::seconds{1} + leave_time - leave_slack;
-    EXPECT_FALSE(is_leave_over(t, {"s1"}, leave_time, end - duration{1}));
-    EXPECT_TRUE(is_leave_over(t, {"s1"}, leave_time, end));
-    EXPECT_FALSE(is_leave_over(t, {"s2"}, leave_time, end)) << "it does not leave";
+    record_answered_renewal(t, 4, start);
+    record_answered_renewal(t, 4, start + std::chrono::seconds{1});
+    record_answered_renewal(t, 6, start + std::chrono::seconds{2}); // control had agreed by then: it was revision 5
+    EXPECT_EQ(update_leaving_servers(t, state_with_server(true), 5), std::vector<server_id>{{"s1"}});
+    EXPECT_TRUE(update_leaving_servers(t, state_with_server(true), 7).empty()) << "learned once";
+    const time_point end = start + std::chrono::seconds{1} + leave_time - leave_safety_margin;
+    EXPECT_FALSE(leave_time_has_expired(t, {"s1"}, leave_time, end - duration{1}));
+    EXPECT_TRUE(leave_time_has_expired(t, {"s1"}, leave_time, end));
+    EXPECT_FALSE(leave_time_has_expired(t, {"s2"}, leave_time, end)) << "it does not leave";
 }
 
 TEST(leave_times, are_over_where_nothing_tells_when_they_began) {
-    leave_times t;
-    follow_leaving(t, state_with_server(true), 1); // an instance that has just started
-    EXPECT_TRUE(is_leave_over(t, {"s1"}, leave_time, std::chrono::seconds{1}));
-    follow_leaving(t, state_with_server(false), 2);
-    EXPECT_FALSE(is_leave_over(t, {"s1"}, leave_time, std::chrono::seconds{1}))
+    leave_deadlines t;
+    update_leaving_servers(t, state_with_server(true), 1); // an instance that has just started
+    EXPECT_TRUE(leave_time_has_expired(t, {"s1"}, leave_time, std::chrono::seconds{1}));
+    update_leaving_servers(t, state_with_server(false), 2);
+    EXPECT_FALSE(leave_time_has_expired(t, {"s1"}, leave_time, std::chrono::seconds{1}))
         << "the record is another one";
 }
 
@@ -580,17 +580,17 @@
         std::sort(answers.begin(), answers.end(),
                   [](const answered& a, const answered& b) { return a.heard < b.heard; });
         const time_point learned = agreed_at + std::chrono::milliseconds{*rc::gen::inRange(0, 4'000)};
-        leave_times t;
+        leave_deadlines t;
         for (const answered& a : answers) {
             if (a.heard <= learned) {
-                note_current(t, a.revision, a.sent);
+                record_answered_renewal(t, a.revision, a.sent);
             }
         }
         const bool by_whole_state = *rc::gen::arbitrary<bool>();
         const auto first_new =
             by_whole_state ? *rc::gen::inRange<revision_number>(1, agreed_as + 1) : agreed_as;
-        follow_leaving(t, state_with_server(true), first_new);
-        RC_ASSERT(is_leave_over(t, {"s1"}, leave_time, agreed_at + leave_time - leave_slack));
+        update_leaving_servers(t, state_with_server(true), first_new);
+        RC_ASSERT(leave_time_has_expired(t, {"s1"}, leave_time, agreed_at + leave_time - leave_safety_margin));
     }));
 }
 
--- a/tests/cut_off_test.cpp
+++ b/tests/cut_off_test.cpp
@@ -153,7 +153,7 @@
     const time_point cut_at = s.now;
     s.cut(43);
     const duration look = s.control.config.lease / 20;
-    s.run(grantor_length(s.control.config.lease) + renewal_interval + look + 2 * tick);
+    s.run(grantor_lease_duration(s.control.config.lease) + renewal_interval + look + 2 * tick);
     EXPECT_TRUE(s.all_know()) << "after " << (s.now - cut_at).count();
 
     s.cut(43, false);
@@ -212,7 +212,7 @@
     renewing_site s(67);
     s.cut(43);
     start_leading(s.control, ++s.leader_term, s.now);
-    s.run(grantor_length(s.control.config.lease) - tick);
+    s.run(grantor_lease_duration(s.control.config.lease) - tick);
     EXPECT_FALSE(s.anyone_calls_any_lost()) << "an earlier leader may have granted them leases";
     s.run(renewal_interval + s.control.config.lease / 10);
     EXPECT_TRUE(s.all_know());
--- a/tests/replication_test.cpp
+++ b/tests/replication_test.cpp
@@ -20,11 +20,11 @@
 //-----------------------------------------------------------------------------
 
 // Nodes 1, 2 and 3 with 1 ms between them. A node may hang (it takes no message) or come without anything.
-struct three_nodes {
+struct three_node_cluster {
     std::map<node_id, state> nodes;
-    std::map<node_id, bool> hangs;
-    std::map<node_id, std::vector<message>> held; // for a node that hangs
-    std::multimap<time_point, message> on_the_way;
+    std::map<node_id, bool> hung;
+    std::map<node_id, std::vector<message>> held_messages; // for a node that hangs
+    std::multimap<time_point, message> in_flight;
     std::map<node_id, std::size_t> entries_sent;   // to each
     std::map<node_id, std::size_t> snapshots_sent; // to each
     std::mt19937_64 random{7};
@@ -33,7 +33,7 @@
 
     static constexpr std::array<node_id, 3> ids{1, 2, 3};
 
-    three_nodes() {
+    three_node_cluster() {
         configuration founders;
         for (const node_id id : ids) {
             founders.members.push_back(
@@ -51,17 +51,17 @@
 
     void collect(node_id id) {
         const output out = take_output(nodes[id]);
-        persisted(nodes[id], out.persist_index, out.persist_term, now);
+        on_persisted(nodes[id], out.persist_index, out.persist_term, now);
         for (const message& m : out.messages) {
             entries_sent[m.to] += m.entries.size();
             snapshots_sent[m.to] += m.snap ? 1 : 0;
-            on_the_way.emplace(now + milliseconds{1}, m);
+            in_flight.emplace(now + milliseconds{1}, m);
         }
     }
 
     void deliver(const message& m) {
-        if (hangs[m.to]) {
-            held[m.to].push_back(m);
+        if (hung[m.to]) {
+            held_messages[m.to].push_back(m);
         } else if (nodes.contains(m.to)) {
             step(nodes[m.to], m, now, random);
         }
@@ -71,13 +71,13 @@
         const time_point until = now + time;
         while (now < until) {
             now += milliseconds{1};
-            while (!on_the_way.empty() && on_the_way.begin()->first <= now) {
-                const message m = on_the_way.begin()->second;
-                on_the_way.erase(on_the_way.begin());
+            while (!in_flight.empty() && in_flight.begin()->first <= now) {
+                const message m = in_flight.begin()->second;
+                in_flight.erase(in_flight.begin());
                 deliver(m);
             }
             for (auto& [id, s] : nodes) {
-                if (!hangs[id]) {
+                if (!hung[id]) {
                     tick(s, now, random);
                 }
                 collect(id);
@@ -85,9 +85,9 @@
         }
     }
 
-    void wake(node_id id) {
-        hangs[id] = false;
-        for (const message& m : std::exchange(held[id], {})) {
+    void resume(node_id id) {
+        hung[id] = false;
+        for (const message& m : std::exchange(held_messages[id], {})) {
             deliver(m);
         }
     }
@@ -98,7 +98,7 @@
 //-----------------------------------------------------------------------------
 
 TEST(replication, an_entry_goes_to_each_peer_once) {
-    three_nodes n;
+    three_node_cluster n;
     ASSERT_EQ(n.leader().current_role, role::leader);
     n.entries_sent.clear();
     for (int i = 0; i < 20; ++i) {
@@ -112,23 +112,23 @@
 
 // A disk that hangs for seconds: the peer has what was sent, and says nothing.
 TEST(replication, a_peer_that_hangs_gets_each_entry_a_few_times_and_not_with_every_heartbeat) {
-    three_nodes n;
-    n.hangs[3] = true;
+    three_node_cluster n;
+    n.hung[3] = true;
     n.entries_sent.clear();
     propose(n.leader(), "a table of 340 routes", n.now);
     n.run(milliseconds{2600});
     EXPECT_LE(n.entries_sent[3], 7U) << "52 heartbeats passed";
     EXPECT_EQ(n.leader().commit, last_index(n.leader())) << "the others commit";
-    n.wake(3);
+    n.resume(3);
     n.run(milliseconds{1200});
     EXPECT_EQ(n.nodes[3].commit, last_index(n.leader()));
 }
 
 TEST(replication, an_entry_that_was_lost_on_its_way_is_sent_again_within_two_heartbeats) {
-    three_nodes n;
+    three_node_cluster n;
     propose(n.leader(), "edit", n.now);
     n.collect(1);
-    std::erase_if(n.on_the_way, [](const auto& m) { return m.second.to != 1; });
+    std::erase_if(n.in_flight, [](const auto& m) { return m.second.to != 1; });
     n.run(milliseconds{110});
     EXPECT_EQ(n.leader().commit, last_index(n.leader()));
     EXPECT_EQ(n.nodes[2].log.size(), n.leader().log.size());
@@ -136,12 +136,12 @@
 
 // A new leader knows nothing of what its peers hold; their refusals tell.
 TEST(replication, a_new_leader_sends_no_peer_what_it_holds) {
-    three_nodes n;
+    three_node_cluster n;
     for (int i = 0; i < 50; ++i) {
         propose(n.leader(), "edit", n.now);
     }
     n.run(milliseconds{200});
-    n.hangs[1] = true;
+    n.hung[1] = true;
     n.entries_sent.clear();
     n.run(milliseconds{1500});
     const bool second_leads = n.nodes[2].current_role == role::leader;
@@ -151,17 +151,17 @@
 }
 
 TEST(replication, a_new_leader_sends_no_log_to_peers_that_are_slow_to_answer) {
-    three_nodes n;
+    three_node_cluster n;
     for (int i = 0; i < 50; ++i) {
         propose(n.leader(), "edit", n.now);
     }
     n.run(milliseconds{200});
-    n.hangs[1] = true;
+    n.hung[1] = true;
     while (n.nodes[2].current_role != role::leader && n.nodes[3].current_role != role::leader) {
         n.run(milliseconds{1});
     }
     const node_id peer = n.nodes[2].current_role == role::leader ? 3 : 2;
-    n.hangs[peer] = true;
+    n.hung[peer] = true;
     n.entries_sent.clear();
     n.run(milliseconds{250});
     EXPECT_LE(n.entries_sent[peer], 5U) << "its own first entry, again and again, and nothing before it";
@@ -169,7 +169,7 @@
 
 // A member that joins with an empty disk does not know whom to answer until it has got something.
 TEST(replication, a_member_that_joins_gets_the_log_without_asking) {
-    three_nodes n;
+    three_node_cluster n;
     for (int i = 0; i < 10; ++i) {
         propose(n.leader(), "edit", n.now);
     }
--- a/tests/scale_test.cpp
+++ b/tests/scale_test.cpp
@@ -89,11 +89,11 @@
         config.lease = lease;
         core =
             make_control_core(codec, {.id = 1, .name = "a", .address = "b"}, {}, config, from, now, random);
-        for (int i = 0; i < 2000 && !may_lead(core, now); ++i) {
+        for (int i = 0; i < 2000 && !is_active_leader(core, now); ++i) {
             now += milliseconds{1};
             tick(core, now, random);
             const control_output out = take_output(core);
-            persisted(core, out.log.persist_index, out.log.persist_term, now);
+            on_persisted(core, out.consensus.persist_index, out.consensus.persist_term, now);
         }
         at(milliseconds{0}, [this] { tick_leader(); });
         for (std::size_t i = 0; i < count; ++i) {
@@ -167,13 +167,13 @@
             return;
         }
         const control_output out = take_output(core);
-        if (out.log.records.empty()) {
+        if (out.consensus.records.empty()) {
             return;
         }
         syncing = true;
-        at(sync_time, [this, index = out.log.persist_index, term = out.log.persist_term] {
+        at(sync_time, [this, index = out.consensus.persist_index, term = out.consensus.persist_term] {
             syncing = false;
-            persisted(core, index, term, now);
+            on_persisted(core, index, term, now);
             answer_watchers();
             pump();
         });
@@ -277,7 +277,7 @@
                [this, who, is_awaited, revision = core.cluster.revision] {
                    instance& i = instances[who];
                    i.applied = revision;
-                   note_applied(i.held, revision);
+                   record_applied(i.held, revision);
                    note_lease(i);
                    if (is_awaited && i.in_work == 0) {
                        renew_instance(who);
