--- a/src/core/control_core.cpp
+++ b/src/core/control_core.cpp
@@ -24,7 +24,7 @@
     c.out.actions.emplace_back(report_event{.event = what, .group = {}, .server = {}});
 }
 
-// Daemons need the table, not the operator's document of it, which is as large again.
+// Caches the entry for daemons, without the operator's document of the table, which is as large as the table.
 void cache_recent_entry(control_core& c, const raft::entry& e, const std::optional<command>& decoded) {
     c.recent_entries.push_back(e);
     const auto* edit = decoded ? std::get_if<edit_table>(&*decoded) : nullptr;
@@ -53,7 +53,7 @@
     }
 }
 
-// Returns whether anything was applied.
+// Returns whether any entry or snapshot was applied.
 bool apply_committed(control_core& c) {
     raft::output& log = c.consensus.out;
     if (!log.restored && log.committed.empty()) {
@@ -92,7 +92,7 @@
     return raft::leader_is_ready(c.consensus) && c.cluster.revision == c.consensus.commit;
 }
 
-// Returns whether the lead was won just now.
+// Returns whether this instance has just become the leader of control.
 bool update_leadership(control_core& c, time_point now) {
     const bool leads = c.consensus.current_role == raft::role::leader;
     if (c.control.leading && !leads) {
@@ -106,7 +106,7 @@
     return false;
 }
 
-// Proposals go to the log at once; everything else is for the caller.
+// Appends proposals to the log at once and leaves all other actions to the caller.
 void dispatch_actions(control_core& c, control_actions& actions, time_point now) {
     std::erase_if(actions, [&c, now](const control_action& action) {
         const auto* proposal = std::get_if<propose_command>(&action);
@@ -118,7 +118,8 @@
     append(c.out.actions, actions);
 }
 
-// What was committed may lead to decisions, and those to new entries, which a lone voter commits at once.
+// Applies committed entries until none is left: they may lead to decisions and those to new entries, which a
+// single voter commits at once.
 void process_committed(control_core& c, time_point now) {
     bool again = true;
     while (again) {
@@ -149,7 +150,7 @@
     return p != s.peers.end() && now - p->second.acked_round_sent_at > s.config.election_timeout;
 }
 
-// Heard of within a few heartbeats: a dead learner must not get a vote.
+// Returns whether the member acknowledged one of the last few heartbeats: a dead learner must not get a vote.
 bool is_responsive(const raft::state& s, raft::node_id id, time_point now) {
     constexpr int heartbeats = 3;
     const auto p = s.peers.find(id);
@@ -157,23 +158,24 @@
            now - p->second.acked_round_sent_at <= s.config.heartbeat_interval * heartbeats;
 }
 
-// Founders know each other by address only, so an instance is told by either.
+// Founders know each other only by address, so an instance is identified by its name or its address.
 bool is_same_instance(const raft::member& a, const raft::member& b) {
     return a.name == b.name || a.address == b.address;
 }
 
-// The instance came back with an empty disk, under another identity that has caught up.
+// Returns whether the instance returned with an empty disk under a new identity, which has caught up.
 bool is_replaced(const raft::state& s, const raft::member& old, time_point now) {
     return std::any_of(s.members.members.begin(), s.members.members.end(), [&](const raft::member& m) {
-        return is_same_instance(m, old) && m.id != old.id && has_caught_up(s, m.id) && is_responsive(s, m.id, now);
+        return is_same_instance(m, old) && m.id != old.id && has_caught_up(s, m.id) &&
+               is_responsive(s, m.id, now);
     });
 }
 
-// Longer than a pause of a sound instance: elections, a slow sync.
+// Longer than the pauses of a healthy instance: elections, a slow sync.
 constexpr int silent_voter_election_timeouts = 3;
-// A learner that does not answer for so long is gone; should it come back, it asks to join again.
+// A learner that does not answer for this long is removed; if it returns, it asks to join again.
 constexpr duration learner_timeout = std::chrono::seconds{12};
-// Without a word of any leader for so long an instance may have been removed, and asks to join.
+// After this long without contact with a leader an instance may have been removed, and asks to join.
 constexpr int rejoin_election_timeouts = 10;
 
 bool is_silent_for(const raft::state& s, raft::node_id id, duration time, time_point now) {
@@ -197,14 +199,15 @@
     }));
 }
 
-// Founders are called by their address in the log, so the address tells which instance it is.
+// The log names founders by their address, so instances are matched by address.
 failure_domain domain_of(const control_core& c, const raft::member& m) {
     const auto found = std::find_if(c.cluster.instances.begin(), c.cluster.instances.end(),
                                     [&m](const auto& i) { return i.second.address == m.address; });
     return found == c.cluster.instances.end() ? failure_domain{} : found->second.domain;
 }
 
-std::size_t count_responsive_voters_in_domain(const control_core& c, const failure_domain& domain, time_point now) {
+std::size_t count_responsive_voters_in_domain(const control_core& c, const failure_domain& domain,
+                                              time_point now) {
     const raft::state& s = c.consensus;
     const auto& members = s.members.members;
     return static_cast<std::size_t>(std::count_if(members.begin(), members.end(), [&](const raft::member& m) {
@@ -212,7 +215,8 @@
     }));
 }
 
-// One voter more than wanted, and one that is silent: it would count against every majority from now on.
+// Returns a silent voter if there are more voters than the target: it would count against every majority from
+// now on.
 const raft::member* find_surplus_voter(const control_core& c, time_point now) {
     const auto& members = c.consensus.members.members;
     if (c.target_voters == 0 || count_voters(c.consensus.members) <= c.target_voters) {
@@ -234,14 +238,15 @@
 
 bool is_promotable_learner(const raft::state& s, const raft::member& m, time_point now) {
     const auto& members = s.members.members;
-    const bool instance_has_vote = std::any_of(members.begin(), members.end(), [&m](const raft::member& other) {
-        return other.voter && is_same_instance(other, m);
-    });
+    const bool instance_has_vote =
+        std::any_of(members.begin(), members.end(),
+                    [&m](const raft::member& other) { return other.voter && is_same_instance(other, m); });
     return !m.voter && !instance_has_vote && has_caught_up(s, m.id) && is_responsive(s, m.id, now);
 }
 
-// A learner takes the place of a voter that is silent, or one that is missing, in the failure domain with the
-// fewest voters. It comes first and the silent one goes after: at no moment is a change held by fewer disks.
+// Returns the learner that replaces a silent or missing voter, from the failure domain with the fewest
+// voters. The learner gets its vote before the silent voter is removed, so a change is never held by fewer
+// disks.
 const raft::member* find_next_voter(const control_core& c, time_point now) {
     const raft::state& s = c.consensus;
     if (c.target_voters != 0 && count_responsive_voters(s, now) >= c.target_voters) {
@@ -280,8 +285,9 @@
     }
 }
 
-// One step at a time. A lost identity goes first: it counts against the majority without being able to
-// help it, so nothing is risked by that, while adding before removing would need one more living voter.
+// Makes one membership change at a time. A lost identity is removed first: it counts against the majority and
+// can never vote again, so its removal risks nothing, while adding before removing would need one more living
+// voter.
 void maintain_members(control_core& c, time_point now) {
     const raft::state& s = c.consensus;
     const auto& members = s.members.members;
@@ -307,7 +313,8 @@
 
 control_core make_control_core(const command_codec& codec, const raft::member& self,
                                const raft::settings& timing, const control_settings& settings,
-                               const raft::recovered_state& recovered, time_point now, std::mt19937_64& random) {
+                               const raft::recovered_state& recovered, time_point now,
+                               std::mt19937_64& random) {
     control_core c;
     c.codec = codec;
     c.self = self;
@@ -368,7 +375,7 @@
 }
 
 std::optional<std::vector<rate_grant>> grant_operations(control_core& c, const rate_request& r,
-                                                       time_point now) {
+                                                        time_point now) {
     if (!is_active_leader(c, now)) {
         return std::nullopt;
     }
@@ -440,8 +447,9 @@
 bool should_join(const control_core& c, time_point now) {
     const raft::state& s = c.consensus;
     const bool is_member = raft::find_member(s.members, s.self) != nullptr;
-    const bool may_be_removed = s.current_role != raft::role::leader &&
-                                now - s.last_leader_contact > s.config.election_timeout * rejoin_election_timeouts;
+    const bool may_be_removed =
+        s.current_role != raft::role::leader &&
+        now - s.last_leader_contact > s.config.election_timeout * rejoin_election_timeouts;
     return !is_member || may_be_removed;
 }
 
--- a/src/core/control_talk.cpp
+++ b/src/core/control_talk.cpp
@@ -7,14 +7,14 @@
 namespace {
 
 constexpr int max_renewals_per_lease = 5;
-// A renewal costs a leader about 0.1 ms of a processor, so these are a sixteenth of one.
+// A renewal costs a leader about 0.1 ms of processor time, so this rate uses a sixteenth of a processor.
 constexpr std::int64_t target_renewals_per_second = 600;
-// Told of urgent news a leader is in use for a third of its time, where it has a third of a processor.
+// A leader with a third of a processor spends a third of its time on urgent notifications at these intervals.
 constexpr duration notification_interval_per_instance = std::chrono::microseconds{1000};
 constexpr duration urgent_notification_interval_per_instance = std::chrono::microseconds{300};
 constexpr duration max_notification_interval = std::chrono::milliseconds{300};
 constexpr duration max_urgent_notification_interval = std::chrono::milliseconds{100};
-constexpr std::size_t max_unpaced_instances = 40; // told of each revision by itself
+constexpr std::size_t max_unpaced_instances = 40; // notified of each revision separately
 constexpr duration search_backoff_per_instance = std::chrono::microseconds{500};
 constexpr duration max_search_backoff = std::chrono::milliseconds{150};
 
@@ -29,8 +29,8 @@
 
 duration renewal_interval(duration lease, std::size_t instance_count) {
     const duration min_interval = lease / max_renewals_per_lease;
-    const duration paced =
-        duration{std::chrono::seconds{1}} * static_cast<std::int64_t>(instance_count) / target_renewals_per_second;
+    const duration paced = duration{std::chrono::seconds{1}} * static_cast<std::int64_t>(instance_count) /
+                           target_renewals_per_second;
     return std::clamp(paced, min_interval, min_interval * 2);
 }
 
@@ -39,7 +39,8 @@
 }
 
 duration urgent_notification_interval(std::size_t instance_count) {
-    return paced_interval(instance_count, urgent_notification_interval_per_instance, max_urgent_notification_interval);
+    return paced_interval(instance_count, urgent_notification_interval_per_instance,
+                          max_urgent_notification_interval);
 }
 
 duration leader_search_backoff(duration min_backoff, std::size_t instance_count) {
--- a/src/core/lease.cpp
+++ b/src/core/lease.cpp
@@ -23,7 +23,8 @@
 
 void add_grant(lease_state& l, time_point sent, duration nominal, revision_number granted_revision,
                revision_number applied_revision) {
-    l.pending_grants.push_back(lease_grant{.revision = granted_revision, .expires_at = sent + holder_lease_duration(nominal)});
+    l.pending_grants.push_back(
+        lease_grant{.revision = granted_revision, .expires_at = sent + holder_lease_duration(nominal)});
     if (l.pending_grants.size() > max_pending_grants) {
         l.pending_grants.pop_front();
     }
@@ -36,7 +37,8 @@
             l.expires_at = std::max(l.expires_at, g.expires_at);
         }
     }
-    std::erase_if(l.pending_grants, [applied_revision](const lease_grant& g) { return g.revision <= applied_revision; });
+    std::erase_if(l.pending_grants,
+                  [applied_revision](const lease_grant& g) { return g.revision <= applied_revision; });
 }
 
 void release_lease(lease_state& l) {
--- a/src/core/raft.cpp
+++ b/src/core/raft.cpp
@@ -1,4 +1,4 @@
-// Consensus: see raft.hpp.
+// Raft consensus: see raft.hpp.
 //
 // Index
 //   [log]  [timers and roles]  [replication]  [votes]  [messages]  [public functions]
@@ -14,11 +14,11 @@
 //-----------------------------------------------------------------------------
 
 constexpr std::size_t max_unacked_rounds = 256;
-// Longer than a vote takes (two syncs of 2 to 5 ms and a round trip), so that the first one is done before
-// the next one stands.
+// Longer than a vote takes (two syncs of 2 to 5 ms and a round trip), so that one candidate's election ends
+// before the next voter starts its own.
 constexpr duration initial_election_stagger = std::chrono::milliseconds{60};
-// A peer whose disk hangs keeps what it has got, and each copy costs the whole of the entries (a table of 340
-// routes is 100 KB). One that was lost with its connection is missed for as long at most.
+// A peer whose disk hangs already has the entries, and each copy costs their full size (100 KB for a table of
+// 340 routes). An entry that was lost with its connection is delayed by at most this time.
 constexpr duration max_resend_backoff = std::chrono::seconds{1};
 
 const entry* entry_at(const state& s, std::uint64_t index) {
@@ -82,9 +82,10 @@
     s.election_deadline = now + s.config.election_timeout + duration{extra(random)};
 }
 
-// After a start the voters stand one after the other: where all of them start at once, nobody leads, and the
-// first one need not wait longer than a leader's lease can last. A leader 0.33 to 0.49 s after the start,
-// where timers by chance took 0.35 to 0.95 s (four restarts, election timeout 300 ms).
+// After a start the voters start their elections in order of rank: if all nodes start at once there is no
+// leader, and the first voter only has to wait for the longest possible leader lease. A leader is elected
+// within 0.33 to 0.49 s, compared with 0.35 to 0.95 s for random timers (four restarts, election timeout 300
+// ms).
 void set_initial_election_timer(state& s, time_point now) {
     std::int64_t rank = 0;
     for (const member& m : s.members.members) {
@@ -123,7 +124,7 @@
 // [replication]
 //-----------------------------------------------------------------------------
 
-// Entries were sent to this peer that it has not acknowledged.
+// Returns whether the peer has not yet acknowledged entries that were sent to it.
 bool has_entries_in_flight(const progress& p) {
     return p.in_flight_base + 1 < p.next;
 }
@@ -164,12 +165,14 @@
     for (std::uint64_t i = p.next; i <= end; ++i) {
         m.entries.push_back(*entry_at(s, i));
     }
-    p.next = end + 1; // optimistic: a refusal sets it back
+    p.next = end + 1; // optimistic; a refusal resets it
     p.last_send = now;
     s.out.messages.push_back(std::move(m));
 }
 
-// A peer that has said nothing to this leader for long may be empty, and not know whom to tell.
+// Rewinds `next` to the first entry in flight if the acknowledgement is overdue. A peer that has not answered
+// this leader until the longest backoff may be empty and not know the leader's address, so it gets the log
+// from the start.
 void rewind_if_ack_overdue(progress& p, time_point now) {
     const bool silent = !p.acked && p.resend_backoff >= max_resend_backoff;
     if (now < p.resend_at || p.snapshot_in_flight || !(has_entries_in_flight(p) || !p.acked)) {
@@ -184,13 +187,13 @@
 void update_peers(state& s, time_point now) {
     for (const member& m : s.members.members) {
         if (m.id != s.self && !s.peers.contains(m.id)) {
-            // A member that joins has nothing, and cannot say so: it does not know the others yet.
+            // A joining member is empty and cannot report it, because it does not know the other members yet.
             const bool is_joining = now > s.became_leader_at;
             progress p;
             p.in_flight_base = is_joining ? 0 : last_index(s);
             p.next = p.in_flight_base + 1;
             reset_resend_backoff(s, p, now);
-            p.acked_round_sent_at = now; // it has the time to answer before it counts as silent
+            p.acked_round_sent_at = now; // time to answer before the peer counts as silent
             s.peers.emplace(m.id, p);
         }
     }
@@ -235,7 +238,7 @@
     }
     std::sort(matches.begin(), matches.end(), std::greater<>());
     const std::uint64_t majority_index = matches[majority(s) - 1];
-    // Only entries of the own term commit by counting (Raft, 5.4.2).
+    // Only entries of the leader's own term commit by counting replicas (Raft, 5.4.2).
     if (majority_index > s.commit && term_at(s, majority_index) == s.hard.term) {
         s.commit = majority_index;
         deliver_committed(s);
@@ -255,7 +258,7 @@
     for (const member& m : s.members.members) {
         if (m.id != s.self) {
             progress p;
-            p.in_flight_base = noop.index - 1; // until a refusal tells that it lacks more
+            p.in_flight_base = noop.index - 1; // until a refusal reports a shorter log
             p.next = noop.index;
             reset_resend_backoff(s, p, now);
             p.acked_round_sent_at = now;
@@ -292,7 +295,7 @@
 
 void start_election(state& s, time_point now, std::mt19937_64& random) {
     s.current_role = role::candidate;
-    reset_election_timer(s, now, random); // by chance, or two candidates go on splitting the votes
+    reset_election_timer(s, now, random); // randomized so that two candidates do not keep splitting the votes
     s.hard = hard_state{.term = s.hard.term + 1, .voted_for = s.self};
     store_hard_state(s);
     s.votes = {{s.self, true}};
@@ -304,7 +307,7 @@
 }
 
 void start_pre_vote(state& s, time_point now, std::mt19937_64& random) {
-    // A pre-vote harms nobody, so one that is not granted is tried again soon.
+    // A pre-vote disrupts no leader, so it is retried soon if it is not granted.
     std::uniform_int_distribution<std::int64_t> extra(0, s.config.election_timeout.count() / 2);
     s.election_deadline = now + s.config.election_timeout / 4 + duration{extra(random)};
     if (!is_voter(s.members, s.self)) {
@@ -325,7 +328,9 @@
     return m.log_term > own_term || (m.log_term == own_term && m.log_index >= last_index(s));
 }
 
-// A node that hears a working leader refuses, whatever the term: the leader's lease rests on this.
+// Returns whether this node rejects elections, in any term, because it holds the leader lease or has recent
+// contact with a leader.
+// The leader's lease depends on this rule.
 bool refuses_elections(const state& s, time_point now) {
     return s.current_role == role::leader ? leader_has_lease(s, now) : has_recent_leader_contact(s, now);
 }
@@ -339,7 +344,7 @@
                               .candidate_log_index = m.log_index});
 }
 
-// Why a pre-vote is refused, or nothing where it is granted.
+// Returns why a pre-vote is refused, or nothing if it is granted.
 std::optional<refusal_reason> find_pre_vote_refusal(const state& s, const message& m, time_point now) {
     if (m.term <= s.hard.term) {
         return refusal_reason::older_term;
@@ -361,7 +366,7 @@
     }
 }
 
-// Why a vote in the own term is refused, or nothing where it is granted.
+// Returns why a vote in the current term is refused, or nothing if it is granted.
 std::optional<refusal_reason> find_vote_refusal(const state& s, const message& m) {
     if (s.hard.voted_for != 0 && s.hard.voted_for != m.from) {
         return refusal_reason::voted_for_another;
@@ -418,9 +423,9 @@
 // [messages]
 //-----------------------------------------------------------------------------
 
-// Returns false for a message of an old leader, which has been answered then.
+// Returns false for a message from a leader of an older term, after replying to it.
 bool accept_leader_message(state& s, const message& m, message_kind reply_kind, time_point now,
-                   std::mt19937_64& random) {
+                           std::mt19937_64& random) {
     if (m.term < s.hard.term) {
         s.out.messages.push_back(make_message(s, reply_kind, m.from));
         return false;
@@ -491,8 +496,8 @@
     p.acked = true;
 }
 
-// A refusal that tells of nothing before what is in flight says only that this has not arrived yet: sent once
-// more for each of them, large entries would choke the peer.
+// Ignores a refusal that reports no gap before the entries in flight: they have just not arrived yet, and
+// sending large entries again for each such refusal would overload the peer.
 void on_append_refused(state& s, progress& p, const message& m, time_point now) {
     const bool in_flight = has_entries_in_flight(p) || p.snapshot_in_flight;
     if (in_flight && m.log_index >= p.in_flight_base) {
@@ -528,7 +533,7 @@
     const std::uint64_t commit_before = s.commit;
     advance_commit(s);
     if (s.commit > commit_before) {
-        broadcast(s, now, false); // followers learn at once what committed
+        broadcast(s, now, false); // tells followers the new commit index at once
     } else if (p.next <= last_index(s)) {
         send_append(s, m.from, p, now);
     }
@@ -541,7 +546,8 @@
             continue;
         }
         const auto p = s.peers.find(m.id);
-        const bool has_recent_ack = p != s.peers.end() && p->second.acked && p->second.acked_round_sent_at >= since;
+        const bool has_recent_ack =
+            p != s.peers.end() && p->second.acked && p->second.acked_round_sent_at >= since;
         acked += (m.id == s.self || has_recent_ack) ? 1 : 0;
     }
     return acked >= majority(s);
@@ -553,7 +559,7 @@
         become_follower(s, s.hard.term, 0, now, random);
         return;
     }
-    // A leader that is no longer a member hands over once that is committed.
+    // A leader that was removed steps down once the new configuration has committed.
     if (find_member(s.members, s.self) == nullptr && s.commit >= s.members_index) {
         become_follower(s, s.hard.term, 0, now, random);
         return;
@@ -638,7 +644,8 @@
     if (s.snap.index > 0) {
         s.out.restored = s.snap;
     }
-    // It may have heard a leader just before it stopped, so it waits out that leader's lease.
+    // This node may have had contact with a leader just before it stopped, so it waits until that lease has
+    // expired.
     s.last_leader_contact = now;
     reset_election_timer(s, now, random);
     if (is_voter(s.members, self)) {
@@ -651,7 +658,7 @@
     if (last_index(s) != 0 || s.hard.term != 0 || !is_voter(founders, s.self)) {
         return false;
     }
-    // Nobody has led in term 1, so the first entry can never be at odds with another one.
+    // No node leads in term 1, so the first entry cannot conflict with another one.
     s.hard = hard_state{.term = 1, .voted_for = s.self};
     store_hard_state(s);
     entry first;
@@ -715,7 +722,7 @@
 
 void on_persisted(state& s, std::uint64_t index, std::uint64_t term, time_point now) {
     if (index > last_index(s) || term_at(s, index) != term) {
-        return; // replaced while it was being synced; the replacement's own sync will report
+        return; // replaced while it was being synced; the sync of the replacement calls this again
     }
     s.persisted = std::max(s.persisted, index);
     if (s.current_role != role::leader) {
--- a/src/core/raft.hpp
+++ b/src/core/raft.hpp
@@ -1,21 +1,21 @@
-// Consensus on one log of commands between the control instances (Raft's published rules).
+// Raft consensus on one log of commands that the control instances replicate.
 //
-// A plain struct and free functions: messages, time and random numbers come in, output (records to sync,
-// messages to send, entries to apply) goes out. No clock, socket or file in here.
+// A state struct and free functions without a clock, sockets or files: messages, time and random numbers are
+// inputs; records to sync, messages to send and entries to apply are outputs.
 //
 // Usage
 //   raft::state s = raft::make_state(self, settings, recovered, now, random);
 //   raft::tick(s, now, random);  raft::step(s, message, now, random);  raft::propose(s, command, now);
-//   raft::output out = raft::take_output(s);   // sync out.records first, then raft::persisted(...),
+//   raft::output out = raft::take_output(s);   // sync out.records, then call raft::on_persisted(...),
 //                                              // and only then send out.messages
 //
-// Rules beyond the basic ones, and why
-//   pre-vote        an instance that was cut off does not depose a working leader when it comes back
-//   check quorum    a leader that hears from no majority steps down by itself
-//   leader lease    leader_has_lease() is true only while no other leader can exist; a leader that was cut
-//                   off silently hands out nothing. Needs election_timeout longer than lease_window.
-//   one change      one member is added or removed at a time, and only after the last change committed
-//   learners        a new member gets the log, but has no vote until it has caught up
+// Extensions of basic Raft
+//   pre-vote        a node that was partitioned does not depose a working leader when it returns
+//   check quorum    a leader without acknowledgements from a majority steps down
+//   leader lease    leader_has_lease() is true only while no other leader can exist, so a partitioned leader
+//                   grants nothing. The lease is shorter than election_timeout by twice the drift bound.
+//   single change   one member is added or removed at a time, after the previous change has committed
+//   learners        a new member receives the log, and gets a vote only after it has caught up
 //
 // Index
 //   [data]  [functions]
@@ -36,13 +36,13 @@
 // [data]
 //-----------------------------------------------------------------------------
 
-// Names one data folder, not one instance: an instance that lost its disk gets a new one, so it can
-// never vote twice in a term. 0 means none.
+// Identifies a data folder, not an instance: an instance that lost its disk gets a new id, so it can never
+// vote twice in a term. 0 = none.
 using node_id = std::uint64_t;
 
 struct member {
     node_id id = 0;
-    std::string name;    // instance name; a new data folder keeps it
+    std::string name;    // instance name; the same for a new data folder
     std::string address; // "ip:port" of the peer listener
     bool voter = false;  // false: learner
     bool operator==(const member&) const = default;
@@ -56,8 +56,8 @@
 struct entry {
     std::uint64_t index = 0;
     std::uint64_t term = 0;
-    std::string command;                 // opaque; empty for a leader's first entry
-    std::optional<configuration> config; // set for a change of members
+    std::string command;                 // opaque; empty for the no-op entry of a new leader
+    std::optional<configuration> config; // set for a membership change
     bool operator==(const entry&) const = default;
 };
 
@@ -65,11 +65,11 @@
     std::uint64_t index = 0;
     std::uint64_t term = 0;
     configuration config;
-    std::string data; // opaque state of the applied log
+    std::string data; // opaque; state after applying the log up to `index`
     bool operator==(const snapshot&) const = default;
 };
 
-// What must survive a restart besides log and snapshot.
+// State that must survive a restart, besides the log and the snapshot.
 struct hard_state {
     std::uint64_t term = 0;
     node_id voted_for = 0;
@@ -92,70 +92,70 @@
     node_id from = 0;
     node_id to = 0;
     std::uint64_t term = 0;
-    std::uint64_t log_index = 0; // entry before the first sent, or the last one acknowledged
+    std::uint64_t log_index = 0; // entry before the first one sent; in replies the last one acknowledged
     std::uint64_t log_term = 0;
     std::uint64_t commit = 0;
-    std::uint64_t round = 0; // heartbeat round, returned in the reply; dates the leader's lease
-    bool granted = false;    // votes: granted; replies: the log matched
+    std::uint64_t round = 0; // heartbeat round, echoed in the reply; its send time starts the leader's lease
+    bool granted = false;    // vote replies: granted; other replies: the log matched
     std::vector<entry> entries;
     std::optional<snapshot> snap;
     bool operator==(const message&) const = default;
 };
 
-// One durable record. Records are applied in order when the log file is read back.
+// One durable record. Recovery applies records in the order of the log file.
 struct record {
     std::optional<hard_state> hard;
-    std::optional<entry> log_entry; // drops any entry with this or a larger index first
-    std::optional<snapshot> snap;   // drops the log up to its index
+    std::optional<entry> log_entry; // truncates the log from its index on, then is appended
+    std::optional<snapshot> snap;   // discards the log up to its index
     bool operator==(const record&) const = default;
 };
 
 enum class refusal_reason : std::uint8_t { leader_active = 1, older_term, older_log, voted_for_another };
 
-// A vote that this node did not grant, for the log.
+// Describes a vote that this node refused, for logging.
 struct vote_refusal {
     node_id candidate = 0;
     bool pre_vote = false;
     refusal_reason reason = refusal_reason::leader_active;
-    std::uint64_t term = 0; // asked for
+    std::uint64_t term = 0; // requested term
     std::uint64_t candidate_log_term = 0;
     std::uint64_t candidate_log_index = 0;
     auto operator<=>(const vote_refusal&) const = default;
 };
 
 struct output {
-    std::vector<record> records;   // sync these in order before sending messages
-    std::vector<message> messages; // to be sent after the records are synced
-    std::vector<entry> committed;  // to be applied, in order
+    std::vector<record> records;   // sync in order before sending `messages`
+    std::vector<message> messages; // send after the records are synced
+    std::vector<entry> committed;  // apply in order
     std::vector<vote_refusal> refusals;
-    std::optional<snapshot> restored; // replace the applied state by this before `committed`
-    std::uint64_t persist_index = 0;  // pass both to persisted() once the records are synced
+    std::optional<snapshot> restored; // replaces the applied state before `committed`
+    std::uint64_t persist_index = 0;  // pass index and term to on_persisted() after syncing
     std::uint64_t persist_term = 0;
 };
 
 struct settings {
     duration heartbeat_interval = std::chrono::milliseconds{75};
-    duration election_timeout = std::chrono::milliseconds{450}; // up to twice this, by chance
-    std::size_t batch_entries = 256;                            // entries in one append
-    std::size_t catch_up_entries = 64; // a learner this close behind may get its vote
+    duration election_timeout = std::chrono::milliseconds{450}; // randomized up to twice this
+    std::size_t batch_entries = 256;                            // maximum entries in one append request
+    std::size_t catch_up_entries = 64; // maximum lag at which a learner may get a vote
 };
 
 enum class role : std::uint8_t { follower, pre_candidate, candidate, leader };
 
-// What the leader knows of one other member.
+// Replication progress of one peer, tracked by the leader.
 struct progress {
     std::uint64_t next = 1;
     std::uint64_t match = 0;
-    std::uint64_t in_flight_base = 0; // index before the oldest entry in flight: what it is thought to hold for certain
-    time_point acked_round_sent_at{}; // when the newest acknowledged round was sent
+    std::uint64_t in_flight_base = 0; // index before the oldest entry in flight; peer assumed to hold it
+    time_point acked_round_sent_at{}; // send time of the newest acknowledged round
     bool acked = false;
     time_point last_send{};
     bool snapshot_in_flight = false;
-    time_point resend_at{};  // entries in flight that are not acknowledged by then are sent again
-    duration resend_backoff{0}; // up to resend_at; doubles until something is acknowledged
+    time_point resend_at{};     // unacknowledged entries in flight are sent again at this time
+    duration resend_backoff{0}; // delay until resend_at; doubles until the peer acknowledges an entry
 };
 
-// What a data folder held when it was read back.
+// State recovered from a data folder.
 struct recovered_state {
     hard_state hard;
     snapshot snap;
@@ -168,19 +168,19 @@
     hard_state hard;
     snapshot snap;             // base of the log
     std::deque<entry> log;     // entries after the snapshot
-    std::size_t log_bytes = 0; // of their commands
-    configuration members;     // newest one in the log, committed or not
+    std::size_t log_bytes = 0; // total size of the commands in `log`
+    configuration members;     // newest configuration in the log, committed or not
     std::uint64_t members_index = 0;
     role current_role = role::follower;
     node_id leader = 0;
     std::uint64_t commit = 0;
-    std::uint64_t delivered = 0; // last index handed out for applying
-    std::uint64_t persisted = 0; // last index known to be synced here
+    std::uint64_t delivered = 0; // last index delivered for applying
+    std::uint64_t persisted = 0; // last index synced to the local disk
     time_point election_deadline{};
     time_point last_leader_contact{};
     time_point became_leader_at{};
     std::uint64_t round = 0;
-    std::map<std::uint64_t, time_point> round_sent_at; // rounds that may still be acknowledged
+    std::map<std::uint64_t, time_point> round_sent_at; // send times of rounds that may still be acknowledged
     time_point last_heartbeat{};
     std::map<node_id, progress> peers;
     std::map<node_id, bool> votes;
@@ -194,46 +194,49 @@
 state make_state(node_id self, const settings& config, const recovered_state& recovered, time_point now,
                  std::mt19937_64& random);
 
-// Founds a new cluster with these voters, `s.self` among them. Only for a data folder that holds nothing;
-// returns false otherwise. Each of several founders calls it with the same list, in the same order, and all
-// start from the same first entry, so none of them is needed for the others to begin.
+// Initializes a new cluster with these voters, which must include `s.self`. Returns false unless the data
+// folder is empty. All founders call it with the same list in the same order and so create the same first
+// entry; the cluster can start without any one of them.
 bool bootstrap(state& s, const configuration& founders, time_point now, std::mt19937_64& random);
 
-// Time passes: heartbeats, elections, stepping down. Call at least every heartbeat_interval / 2.
+// Runs the timers: heartbeats, elections, stepping down. Call at least every heartbeat_interval / 2.
 void tick(state& s, time_point now, std::mt19937_64& random);
 
 void step(state& s, const message& m, time_point now, std::mt19937_64& random);
 
-// Returns the index the command will have if it commits, or 0 where this node does not lead.
+// Appends a command. Returns the index that it has if it commits, or 0 if this node is not the leader.
 std::uint64_t propose(state& s, const std::string& command, time_point now);
 
-// Adds, changes or removes one member. Returns 0 when not leading or when a change is still open.
+// Proposes a configuration that adds, changes or removes one member. Returns 0 if this node is not a ready
+// leader or an earlier change is not yet committed.
 std::uint64_t propose_members(state& s, const configuration& next, time_point now);
 
-// The records up to this index are synced. The term tells whether the entry has been replaced meanwhile.
+// Records that the entries up to `index` are synced. Has no effect if the entry at `index` has another term:
+// it was replaced meanwhile.
 void on_persisted(state& s, std::uint64_t index, std::uint64_t term, time_point now);
 
-// Drops the log up to the applied index, replaced by `data`.
+// Replaces the log up to the applied `index` by a snapshot that holds `data`.
 void compact(state& s, std::uint64_t index, const std::string& data);
 
 output take_output(state& s);
 
-// True while no other node can have become leader: a majority acknowledged a heartbeat that was sent
-// less than an election timeout (less the drift bound) ago.
+// Returns whether this leader's lease is valid: a majority acknowledged a heartbeat sent less than an
+// election timeout (less the drift bound) ago, so no other node can have become leader.
 bool leader_has_lease(const state& s, time_point now);
 
-// True once an entry of the leader's own term is committed: it then knows every committed entry.
+// Returns whether an entry of the leader's own term is committed; from then on the leader knows every
+// committed entry.
 bool leader_is_ready(const state& s);
 
-// Voters that this candidate still waits for; nobody where it is no candidate.
+// Returns the voters that have not granted this candidate or pre-candidate their vote; empty in other roles.
 std::vector<node_id> awaited_voters(const state& s);
 
 const member* find_member(const configuration& c, node_id id);
 bool is_voter(const configuration& c, node_id id);
 std::uint64_t last_index(const state& s);
-std::uint64_t term_at(const state& s, std::uint64_t index); // 0 where unknown
+std::uint64_t term_at(const state& s, std::uint64_t index); // 0 if unknown
 
-// Committed entries after `from`, at most `limit`; nothing where the log no longer holds them.
+// Returns at most `limit` committed entries after index `from`, or nothing if the log no longer holds them.
 std::optional<std::vector<entry>> committed_after(const state& s, std::uint64_t from, std::size_t limit);
 
 } // namespace larchpin::raft
--- a/tests/cluster_fuzz_test.cpp
+++ b/tests/cluster_fuzz_test.cpp
@@ -9,7 +9,7 @@
 namespace larchpin::testing {
 namespace {
 
-constexpr int steps = 4000; // about 20 s of the model's time
+constexpr int steps = 4000; // about 20 s of model time
 
 fault_rates all_faults() {
     return {.loss = 0.05,
@@ -52,18 +52,18 @@
               << in_force << " edits in force, " << left << " servers left\n";
 }
 
-// Breaks one rule and expects the model to notice within some seeds.
+// Disables one rule and expects the model to detect a violation within some seeds.
 void expect_violation(const fault_rates& rates, const broken_rules& broken) {
     constexpr std::uint64_t max_seeds = 400;
     for (std::uint64_t seed = 1; seed <= max_seeds; ++seed) {
         cluster_model model(seed, rates, broken);
         const std::string violation = model.run(steps);
         if (!violation.empty()) {
-            std::cout << "noticed with seed " << seed << ": " << violation << "\n";
+            std::cout << "detected with seed " << seed << ": " << violation << "\n";
             return;
         }
     }
-    ADD_FAILURE() << "the broken rule went unnoticed";
+    ADD_FAILURE() << "the violation was not detected";
 }
 
 TEST(cluster_fuzz, holds_without_faults) {
@@ -88,7 +88,7 @@
     expect_no_violation(rates, "failing primaries");
 }
 
-TEST(cluster_fuzz, holds_when_control_is_cut_and_frozen) {
+TEST(cluster_fuzz, holds_when_control_is_partitioned_and_frozen) {
     fault_rates rates = all_faults();
     rates.control_freeze = 0.003;
     rates.partition = 0.003;
@@ -96,8 +96,8 @@
     expect_no_violation(rates, "cut control");
 }
 
-// More instances than votes: silent voters are replaced, and come back as learners.
-TEST(cluster_fuzz, holds_when_instances_stand_by_for_voters) {
+// There are more instances than voters: silent voters are replaced and return as learners.
+TEST(cluster_fuzz, holds_with_standby_instances) {
     fault_rates rates = all_faults();
     rates.controls = 6;
     rates.tolerated_losses = 2;
@@ -108,9 +108,9 @@
     expect_no_violation(rates, "standing by");
 }
 
-// All that the cluster is to bear, and nothing beyond: whatever is lost when, with everybody back it decides
-// edits, and keeps them when two disks go and all others lose power right after.
-TEST(cluster_fuzz, keeps_edits_over_two_lost_disks_and_a_loss_of_power_after_any_tolerated_losses) {
+// All tolerated losses and no others: with all instances back the cluster decides edits, and keeps them if
+// two disks are lost and all other instances lose power right after.
+TEST(cluster_fuzz, keeps_edits_after_tolerated_losses_and_power_loss) {
     fault_rates rates{.controls = 6, .tolerated_losses = 2, .loss = 0, .max_delay_ms = 10};
     rates.tolerated_loss = 0.01;
     EXPECT_TRUE(rc::check("tolerated losses", [&] {
@@ -123,7 +123,7 @@
     }));
 }
 
-TEST(cluster_fuzz, holds_when_one_instance_stands_by) {
+TEST(cluster_fuzz, holds_with_one_standby_instance) {
     fault_rates rates = all_faults();
     rates.controls = 4;
     rates.tolerated_losses = 1;
@@ -131,16 +131,16 @@
     expect_no_violation(rates, "one standing by");
 }
 
-// Servers leave, end and start again under their id, while leaders change and announcements are late.
-TEST(cluster_fuzz, holds_when_servers_leave_and_start_again) {
+// Servers leave, stop and restart under their id, while leaders change and announcements are delayed.
+TEST(cluster_fuzz, holds_when_servers_leave_and_restart) {
     fault_rates rates = all_faults();
     rates.leave = 0.01;
     rates.partition = 0.002;
     expect_no_violation(rates, "servers leave");
 }
 
-// The only holder of the newest log was leaving: it was no candidate, and nobody could catch up without it.
-TEST(cluster_fuzz, heals_where_the_only_holder_of_the_log_leaves) {
+// The only holder of the newest log was leaving: it was no candidate, and no other server could catch up.
+TEST(cluster_fuzz, recovers_when_only_holder_of_log_leaves) {
     fault_rates rates = all_faults();
     rates.leave = 0.01;
     rates.partition = 0.002;
@@ -149,7 +149,7 @@
     EXPECT_EQ(model.run_until_healthy(), "");
 }
 
-// Servers leave all the time, and operators switch: no order of our own loses what was acknowledged.
+// Servers leave all the time, and operators switch over: no planned switchover loses acknowledged writes.
 TEST(cluster_fuzz, holds_when_primaries_are_switched_all_the_time) {
     fault_rates rates = all_faults();
     rates.leave = 0.01;
@@ -158,12 +158,12 @@
 }
 
 //-----------------------------------------------------------------------------
-// [seeds] that showed a fault once
+// [seeds] of past faults
 //-----------------------------------------------------------------------------
 
-// A renewal that was sent before the daemon had its share arrived after a later one: it held nothing, as it
-// seemed, and others got what it held.
-TEST(cluster_fuzz, a_renewal_that_was_overtaken_gives_no_share_away) {
+// A renewal from before the daemon had its share arrived after a later one. It seemed to hold nothing, and
+// its connections were granted to others.
+TEST(cluster_fuzz, late_renewal_releases_no_share) {
     fault_rates rates = all_faults();
     rates.leave = 0.01;
     rates.partition = 0.002;
@@ -171,16 +171,16 @@
     EXPECT_EQ(model.run(300), "");
 }
 
-// A daemon had a lease before its record was in the log, and the next leader did not wait for it.
-TEST(cluster_fuzz, a_new_leader_waits_for_leases_of_daemons_that_it_never_heard_of) {
+// A daemon had a lease before its record was in the log, and the next leader did not wait for that lease.
+TEST(cluster_fuzz, new_leader_waits_for_leases_of_unknown_daemons) {
     cluster_model model(690, all_faults(), {});
     EXPECT_EQ(model.run(steps), "");
     EXPECT_EQ(model.run_until_healthy(), "");
 }
 
-// The founder ended before anything was on its disk, and nobody founded the cluster any more. The model's
-// founder starts as a control instance does now.
-TEST(cluster_fuzz, founds_the_cluster_when_the_founder_starts_again) {
+// The founder stopped before anything was on its disk, and the cluster was never founded. The model's founder
+// starts like a control instance.
+TEST(cluster_fuzz, founder_bootstraps_again_after_restart) {
     cluster_model model(29801, all_faults(), {});
     EXPECT_EQ(model.run(steps), "");
     EXPECT_EQ(model.run_until_healthy(), "");
@@ -190,38 +190,38 @@
 // [broken rules]
 //-----------------------------------------------------------------------------
 
-// The rules, broken one by one: each must be noticed, or the checks above prove nothing.
+// Each rule is disabled once: the model must detect it, or the checks above prove nothing.
 
-TEST(cluster_fuzz, notices_leaving_that_was_acknowledged_from_memory) {
+TEST(cluster_fuzz, detects_leave_acknowledged_before_commit) {
     fault_rates rates = all_faults();
     rates.leave = 0.01;
     rates.partition = 0.002;
     expect_violation(rates, {.leaving_acked_from_memory = true});
 }
 
-TEST(cluster_fuzz, notices_acknowledgements_without_a_lease) {
+TEST(cluster_fuzz, detects_acknowledgement_without_lease) {
     fault_rates rates = all_faults();
     rates.server_freeze = 0.004;
     rates.daemon_freeze = 0.004;
     expect_violation(rates, {.ack_without_lease = true});
 }
 
-TEST(cluster_fuzz, notices_grants_that_count_too_early) {
+TEST(cluster_fuzz, detects_grant_in_effect_too_early) {
     expect_violation(all_faults(), {.grant_counts_at_once = true});
 }
 
-TEST(cluster_fuzz, notices_a_leader_that_acts_without_its_lease) {
+TEST(cluster_fuzz, detects_leader_acting_without_lease) {
     const fault_rates rates{
         .loss = 0, .repeat = 0, .max_delay_ms = 10, .server_crash = 0.01, .peer_partition = 0.004};
     expect_violation(rates, {.leader_without_lease = true});
 }
 
-TEST(cluster_fuzz, notices_a_lost_disk_that_votes_again) {
+TEST(cluster_fuzz, detects_second_vote_after_lost_disk) {
     const fault_rates rates{.loss = 0.1, .control_crash = 0.003, .lost_disk = 0.002, .peer_partition = 0.002};
     expect_violation(rates, {.lost_disk_keeps_identity = true});
 }
 
-TEST(cluster_fuzz, notices_shares_that_count_too_early) {
+TEST(cluster_fuzz, detects_share_in_effect_too_early) {
     expect_violation(all_faults(), {.share_before_confirmed = true});
 }
 
--- a/tests/cluster_losses.cpp
+++ b/tests/cluster_losses.cpp
@@ -1,4 +1,4 @@
-// Losses of control instances within what the cluster is to bear: see cluster_model.hpp.
+// Tolerated losses of control instances: see cluster_model.hpp.
 #include "cluster_model.hpp"
 
 #include <algorithm>
@@ -7,7 +7,7 @@
 namespace larchpin::testing {
 namespace {
 
-constexpr duration catch_up_time = std::chrono::seconds{6}; // after a loss, before it counts no more
+constexpr duration catch_up_time = std::chrono::seconds{6}; // an instance counts as lost this much longer
 constexpr int max_loss_ms = 5000;
 
 } // namespace
@@ -60,7 +60,7 @@
         stop_control(i);
         c.disk.clear();
         start_control(i, true);
-        c.frozen_until = until; // until the machine is back
+        c.frozen_until = until; // until the machine has restarted
         break;
     }
 }
@@ -103,7 +103,7 @@
     const bool kept = std::any_of(controls_.begin(), controls_.end(), [this](const model_control& c) {
         return is_active_leader(c.core, clock_of(c)) && has_all_decided_edits(c.core);
     });
-    return kept ? "" : "a decided edit is gone";
+    return kept ? "" : "a decided edit is lost";
 }
 
 } // namespace larchpin::testing
--- a/tests/cluster_model.cpp
+++ b/tests/cluster_model.cpp
@@ -24,7 +24,7 @@
                               .encode_state = encode_state,
                               .decode_state = decode_state};
 
-// Long enough for a leader to be replaced meanwhile, several times in a run.
+// Long enough for a leader to be replaced during the leave time, several times in a run.
 constexpr duration leave_time = std::chrono::seconds{3};
 
 duration ms(int n) {
@@ -100,7 +100,7 @@
     c.up = true;
     ++c.incarnation;
     c.sync_free_at = now_;
-    // The founder tries again where it ended before anything was on its disk.
+    // The founder retries if it stopped before anything was on its disk.
     const bool is_first_life = c.incarnation == 1;
     if (id == founder_ && !is_first_life) {
         bootstrap(c.core, clock_of(c), random_);
@@ -120,7 +120,7 @@
             record_violation("edit " + e.change_id + " decided twice");
         }
     }
-    bool planned = false; // the order that follows, as the note before it says
+    bool planned = false; // whether the next promotion is planned, from the event before it
     for (const control_action& action : out.actions) {
         if (const auto* probe = std::get_if<probe_server>(&action)) {
             server_operation(i, probe->operation, probe->server.id, 0);
@@ -142,11 +142,12 @@
         return;
     }
     model_control& c = controls_[i];
-    c.sync_free_at = std::max(c.sync_free_at, now_) + (out.consensus.records.empty() ? duration{0} : ms(random_up_to(4)));
+    c.sync_free_at =
+        std::max(c.sync_free_at, now_) + (out.consensus.records.empty() ? duration{0} : ms(random_up_to(4)));
     queue_.emplace(c.sync_free_at, [this, i, life = c.incarnation, log = out.consensus] {
         model_control& self = controls_[i];
         if (self.incarnation != life || !self.up) {
-            return; // what was not synced is lost with the process
+            return; // unsynced records are lost with the process
         }
         self.disk.insert(self.disk.end(), log.records.begin(), log.records.end());
         on_persisted(self.core, log.persist_index, log.persist_term, clock_of(self));
@@ -156,7 +157,8 @@
                     now_ >= self.peer_partitioned_until) {
                     schedule_delivery([this, to, m] {
                         model_control& target = controls_[to];
-                        if (is_running(target) && now_ >= target.partitioned_until && now_ >= target.peer_partitioned_until) {
+                        if (is_running(target) && now_ >= target.partitioned_until &&
+                            now_ >= target.peer_partitioned_until) {
                             larchpin::step(target.core, m, clock_of(target), random_);
                             process_control_output(to);
                         }
@@ -226,9 +228,10 @@
     edit_table edit;
     const bool resend = next_edit_ > 1 && chance(0.3);
     const std::uint64_t n =
-        resend ? 1 + static_cast<std::uint64_t>(random_up_to(static_cast<int>(next_edit_) - 2)) : next_edit_++;
+        resend ? 1 + static_cast<std::uint64_t>(random_up_to(static_cast<int>(next_edit_) - 2))
+               : next_edit_++;
     edit.change_id = "e" + std::to_string(n);
-    // Sometimes from an old revision: of two edits on one revision only one may win.
+    // Sometimes uses an old revision: of two edits on one revision only one may succeed.
     edit.expected_revision = c.core.cluster.table_revision;
     if (chance(0.2) && edit.expected_revision > 0) {
         --edit.expected_revision;
@@ -264,7 +267,8 @@
     if (from.cluster.revision <= d.copy.revision) {
         return;
     }
-    const bool has_all = !from.recent_entries.empty() && from.recent_entries.front().index <= d.copy.revision + 1;
+    const bool has_all =
+        !from.recent_entries.empty() && from.recent_entries.front().index <= d.copy.revision + 1;
     if (!has_all) {
         const revision_number first_new = d.copy.revision + 1;
         d.copy = from.cluster;
@@ -306,7 +310,7 @@
     if (d.open < d.share) {
         ++d.open;
     } else if (d.open > d.share && chance(0.2)) {
-        --d.open; // busy ones end in their own time
+        --d.open; // busy connections end later
     }
     if (chance(0.05)) {
         d.wanted = static_cast<unsigned>(random_up_to(static_cast<int>(connection_limit)));
@@ -358,13 +362,13 @@
 }
 
 void cluster_model::receive_renewal(std::size_t i, std::size_t asked, const renewal& r, time_point sent,
-                                 std::uint64_t control_life) {
+                                    std::uint64_t control_life) {
     model_control& c = controls_[asked];
     if (!c.up || c.incarnation != control_life || now_ < c.partitioned_until) {
         return;
     }
     if (!is_running(c)) {
-        // It lies in the frozen process's socket, and is read before the clock is looked at.
+        // The message stays in the frozen process's socket, and is read before the clock is checked.
         queue_.emplace(c.frozen_until, [this, i, asked, r, sent, control_life] {
             receive_renewal(i, asked, r, sent, control_life);
         });
@@ -379,30 +383,30 @@
         reply = renew(c.core, r, clock_of(c));
     }
     process_control_output(asked);
-    schedule_delivery(
-        [this, i, asked, reply, sent, life = r.incarnation, copy = c.core.cluster, recent = c.core.recent_entries] {
-            model_daemon& self = daemons_[i];
-            if (!is_running(self) || self.incarnation != life) {
-                return;
-            }
-            control_core view; // what the watch returned at that time
-            view.cluster = copy;
-            view.recent_entries = recent;
-            if (chance(0.7)) {
-                catch_up(self, view);
-            }
-            receive_reply(self, asked, reply, sent);
-        });
+    schedule_delivery([this, i, asked, reply, sent, life = r.incarnation, copy = c.core.cluster,
+                       recent = c.core.recent_entries] {
+        model_daemon& self = daemons_[i];
+        if (!is_running(self) || self.incarnation != life) {
+            return;
+        }
+        control_core view; // reply to the watch request at that time
+        view.cluster = copy;
+        view.recent_entries = recent;
+        if (chance(0.7)) {
+            catch_up(self, view);
+        }
+        receive_reply(self, asked, reply, sent);
+    });
 }
 
-void cluster_model::receive_reply(model_daemon& d, std::size_t asked, const std::optional<renewal_reply>& reply,
-                               time_point sent) {
+void cluster_model::receive_reply(model_daemon& d, std::size_t asked,
+                                  const std::optional<renewal_reply>& reply, time_point sent) {
     if (!reply || reply->code != result_code::ok) {
         d.control_index = (asked + 1) % controls_.size();
         return;
     }
     d.control_index = asked;
-    // Replies that overtook one another: an older one's shares count no more.
+    // Replies may be reordered: the shares of an older reply are ignored.
     if (reply->seq > d.last_seq) {
         d.last_seq = reply->seq;
         for (const share_grant& g : reply->shares) {
@@ -455,7 +459,7 @@
 // [servers]
 //-----------------------------------------------------------------------------
 
-// Servers follow the record as the most advanced daemon with a lease would tell them.
+// Servers follow the group record of the most advanced daemon that has a lease.
 void cluster_model::replicate() {
     const model_daemon* source = nullptr;
     for (const model_daemon& d : daemons_) {
@@ -479,7 +483,7 @@
         if (&s == &*primary || !is_running(s) || !is_running(*primary) || chance(0.5)) {
             continue;
         }
-        // A fenced primary's log goes on to the others, but for who was promoted meanwhile.
+        // A fenced primary still replicates to the others, except to a server promoted meanwhile.
         if (fenced && (!primary->is_primary || s.timeline != primary->timeline)) {
             continue;
         }
@@ -500,8 +504,9 @@
 // [faults]
 //-----------------------------------------------------------------------------
 
-// Under every configuration that anyone may still go by, a majority of voters, and two at least, keep their
-// disks: a cluster that is down to one voter cannot grow if the second dies as it gets its vote.
+// Returns whether, in every configuration that an instance may still use, a majority of voters and at least
+// two keep their disks: a cluster with one voter left cannot grow if the second one dies when it gets its
+// vote.
 bool cluster_model::majority_survives_without(raft::node_id lost) const {
     return std::all_of(controls_.begin(), controls_.end(), [&](const model_control& holder) {
         std::size_t voters = 0;
@@ -587,13 +592,15 @@
 // [leaving]
 //-----------------------------------------------------------------------------
 
-// One server at a time. It ends when its time is over and another one leads, and starts again under its id.
+// One server at a time leaves. It stops when its leave time is over and another server is primary, and
+// restarts under its id.
 void cluster_model::update_leaving_server() {
     const auto server =
         std::find_if(servers_.begin(), servers_.end(), [](const model_server& s) { return s.leaving; });
     if (server == servers_.end()) {
         if (chance(rates_.leave)) {
-            servers_[static_cast<std::size_t>(random_up_to(static_cast<int>(servers_.size()) - 1))].leaving = true;
+            servers_[static_cast<std::size_t>(random_up_to(static_cast<int>(servers_.size()) - 1))].leaving =
+                true;
         }
         return;
     }
@@ -602,12 +609,12 @@
         server->leaving = false;
         server->leave_acked_at.reset();
         server->record.start_time_ms += 1'000;
-        server->writes.clear(); // it holds nothing of before
+        server->writes.clear(); // the restarted server is empty
         server->timeline = 1;
     }
 }
 
-// The daemon whose copy shows it has the announcement's answer to give.
+// A daemon acknowledges the announcement once its copy of the state shows the server as leaving.
 void cluster_model::acknowledge_leaving(const model_daemon& d) {
     for (model_server& s : servers_) {
         const auto known = d.copy.servers.find(s.record.id);
@@ -623,18 +630,20 @@
     }
 }
 
-// Nobody who may send requests sends any to a server whose time is over, and nobody forgets that it leaves.
+// Checks that no daemon with a lease sends requests to a server after its leave time, and that the committed
+// state does not forget that the server is leaving.
 void cluster_model::check_leaving() {
     for (const model_server& s : servers_) {
         if (!s.leave_acked_at) {
             continue;
         }
         const auto known = agreed_state_.servers.find(s.record.id);
-        const bool same_start = known != agreed_state_.servers.end() && known->second.start_time_ms == s.record.start_time_ms;
-        // What the model has gathered of the log may be behind: whoever committed last may be down.
+        const bool same_start =
+            known != agreed_state_.servers.end() && known->second.start_time_ms == s.record.start_time_ms;
+        // The model's log may be behind: the instance that committed last may be down.
         const bool gathered = agreed_state_.revision >= s.leave_acked_revision;
         if (gathered && same_start && !known->second.leaving) {
-            record_violation("it was acknowledged to " + s.record.id.value + " that it leaves, and is forgotten");
+            record_violation("the acknowledged leave of " + s.record.id.value + " is forgotten");
         }
         if (now_ < *s.leave_acked_at + leave_time) {
             continue;
@@ -644,7 +653,7 @@
                                d.copy.servers.contains(s.record.id) &&
                                !leave_time_has_expired(d.leaves, s.record.id, leave_time, clock_of(d));
             if (sends) {
-                record_violation("a request may reach " + s.record.id.value + " after its time");
+                record_violation("a request may reach " + s.record.id.value + " after its leave time");
             }
         }
     }
@@ -654,7 +663,8 @@
 // [checks]
 //-----------------------------------------------------------------------------
 
-// Whoever is made primary by plan, with the old one alive, holds everything that the old one acknowledged.
+// Checks that a server promoted by a planned switchover, with the old primary alive, holds every write that
+// the old primary acknowledged.
 void cluster_model::check_planned_switch(const server_id& primary, const server_id& successor) {
     const auto with_id = [this](const server_id& id) {
         return std::find_if(servers_.begin(), servers_.end(),
@@ -671,13 +681,13 @@
 }
 
 void cluster_model::check_removals() {
-    // Once a disk, give or take changes that a deposed leader proposed in vain.
+    // One removal per lost disk, plus changes that a deposed leader proposed without committing them.
     if (members_removed > disks_lost * 3) {
-        record_violation("members are removed over and over");
+        record_violation("members are removed repeatedly");
     }
-    // Once a silence; the last one's change may have been proposed in vain, too.
+    // One removal per outage; the change of the last one may also have been proposed without being committed.
     if (silent_members_removed > outages * 2) {
-        record_violation("silent members are removed over and over");
+        record_violation("silent members are removed repeatedly");
     }
 }
 
@@ -702,7 +712,7 @@
             const bool knows =
                 c.core.cluster.revision < revision || find_change(c.core.cluster, id).has_value();
             if (!knows) {
-                record_violation("edit " + id + " was in force and is forgotten");
+                record_violation("edit " + id + " was in force and is missing");
             }
         }
         if (!is_running(c) || !is_active_leader(c.core, clock_of(c))) {
@@ -717,7 +727,7 @@
             }
         }
     }
-    // The agreed state, from the committed entries alone.
+    // Computes the agreed state from the committed entries alone.
     while (committed_.contains(agreed_state_.revision + 1)) {
         const raft::entry& e = committed_.at(agreed_state_.revision + 1);
         apply(agreed_state_, e.index, decode_command(e.command).value_or(std::monostate{}));
@@ -739,7 +749,7 @@
         }
         open += d.open;
         if (lease_is_live(d.lease, clock_of(d)) && d.copy.revision < newest_in_force) {
-            record_violation("an edit was called in force while a daemon acted on an older table");
+            record_violation("an edit was reported in force while a daemon used an older table");
         }
         if (accepts_acknowledgements(d)) {
             ++accepted_terms[d.copy.groups.at(the_group).term];
@@ -754,7 +764,7 @@
     std::map<revision_number, std::string> winners;
     for (const auto& [id, outcome] : decided_) {
         if (outcome.code == result_code::ok && !winners.emplace(outcome.table_revision, id).second) {
-            record_violation("two edits won one revision");
+            record_violation("two edits succeeded on one revision");
         }
     }
 }
@@ -766,7 +776,7 @@
 cluster_model::cluster_model(std::uint64_t seed, const fault_rates& rates, const broken_rules& broken)
     : random_(seed), rates_(rates), broken_(broken) {
     const auto clock = [this](auto& m) {
-        m.clock_rate = 1.0 + (random_up_to(80) - 40) / 10000.0; // any two differ by less than the drift bound
+        m.clock_rate = 1.0 + (random_up_to(80) - 40) / 10000.0; // pairwise within the drift bound
         m.clock_offset = ms(random_up_to(100'000));
     };
     controls_.resize(static_cast<std::size_t>(rates_.controls));
@@ -866,7 +876,7 @@
             return c.name + " knows too few voters after the faults have ended";
         }
     }
-    // The end may fall into a switchover, which an operator or a leaving primary may bring at any time.
+    // The last step may fall into a switchover, which an operator or a leaving primary may start at any time.
     const auto all_accept = [this] {
         return std::all_of(daemons_.begin(), daemons_.end(),
                            [this](const model_daemon& d) { return accepts_acknowledgements(d); });
--- a/tests/cluster_model.hpp
+++ b/tests/cluster_model.hpp
@@ -1,8 +1,8 @@
-// A whole cluster of core states in one process, for stateful fuzzing: control instances, daemons and backend
-// servers, with a network that loses, delays, repeats and reorders, clocks that drift, disks that are lost,
-// and processes that freeze, stop and come back. It checks what must always hold after every step.
+// A model of a whole cluster in one process for stateful fuzzing: core states of control instances, daemons
+// and backend servers; a network that drops, delays, duplicates and reorders messages; clock drift; lost
+// disks; processes that freeze, stop and restart. The invariants are checked after every step.
 //
-// A loop over pure functions, not a simulator: no protocol, no sessions, one group.
+// The model is a loop over pure functions: it has no protocol, no sessions and one group.
 #pragma once
 
 #include "core/control_core.hpp"
@@ -20,7 +20,7 @@
 
 struct fault_rates {
     int controls = 3;              // control instances
-    unsigned tolerated_losses = 0; // see control_core's wanted_voters
+    unsigned tolerated_losses = 0; // see control_core's target_voters
     double loss = 0.05;            // of a message
     double repeat = 0.02;          // of a message
     int max_delay_ms = 30;
@@ -31,25 +31,25 @@
     double daemon_freeze = 0.0;
     double server_crash = 0.0;
     double server_freeze = 0.0;
-    double partition = 0.0;      // of one control instance from everyone
-    double peer_partition = 0.0; // of one control instance from the other ones only
-    // A control instance is stopped, frozen, cut off or loses its disk, while fewer than tolerated_losses are
-    // lost: one is lost until catch_up after it is back.
+    double partition = 0.0;      // of one control instance from all processes
+    double peer_partition = 0.0; // of one control instance from the other control instances only
+    // A control instance is stopped, frozen, partitioned or loses its disk, while fewer than tolerated_losses
+    // are lost. It counts as lost until catch_up_time after its return.
     double tolerated_loss = 0.0;
     double edit = 0.02;
     double switchover = 0.002;
-    double leave = 0.0; // of a server, while none leaves; it ends later and starts again under its id
+    double leave = 0.0; // of a server, if none is leaving; it restarts under its id
 };
 
-// Rules of the core that a test may break on purpose, to see that the model notices.
+// Rules of the core that a test disables to verify that the model detects the violation.
 struct broken_rules {
-    bool ack_without_lease = false;         // daemons acknowledge by their copy of the record alone
-    bool grant_counts_at_once = false;      // a lease counts before its revision is applied
+    bool ack_without_lease = false;         // daemons acknowledge by their copy of the group record alone
+    bool grant_counts_at_once = false;      // a lease takes effect before its revision is applied
     bool leader_without_lease = false;      // a leader acts although it may have been replaced
-    bool forget_votes = false;              // a restarted control instance has lost its last vote
-    bool lost_disk_keeps_identity = false;  // and votes again
-    bool leaving_acked_from_memory = false; // before control has agreed that the server leaves
-    bool share_before_confirmed = false;    // a smaller share counts before the daemon has confirmed it
+    bool forget_votes = false;              // a restarted control instance forgets its vote
+    bool lost_disk_keeps_identity = false;  // and may vote twice in a term
+    bool leaving_acked_from_memory = false; // before the leave has committed
+    bool share_before_confirmed = false;    // a smaller share takes effect before the daemon confirms it
 };
 
 struct model_control {
@@ -57,7 +57,7 @@
     control_core core;
     std::vector<raft::record> disk;
     bool up = false;
-    std::uint64_t incarnation = 0; // messages and syncs of earlier lives are dropped
+    std::uint64_t incarnation = 0; // messages and syncs of earlier incarnations are dropped
     double clock_rate = 1.0;
     time_point clock_offset{};
     time_point frozen_until{};
@@ -86,7 +86,7 @@
     time_point clock_offset{};
     time_point frozen_until{};
     time_point next_renewal{};
-    std::size_t control_index = 0; // which control instance
+    std::size_t control_index = 0; // control instance that gets the next renewal
 };
 
 struct model_server {
@@ -94,22 +94,22 @@
     bool up = true;
     bool is_primary = false;
     std::uint64_t timeline = 1;
-    std::vector<std::uint64_t> writes; // the log; its size is the position
+    std::vector<std::uint64_t> writes; // log; its size is the position
     time_point frozen_until{};
     bool leaving = false;
     std::optional<time_point> leave_acked_at;
-    revision_number leave_acked_revision = 0; // of the copy that it was acknowledged by
+    revision_number leave_acked_revision = 0; // revision of the copy that acknowledged it
 };
 
 class cluster_model {
 public:
     cluster_model(std::uint64_t seed, const fault_rates& rates, const broken_rules& broken);
-    // Returns what was violated first, or nothing.
+    // Returns the first violation, or an empty string.
     std::string run(int steps);
-    // Faults end; returns what does not recover, or nothing.
+    // Ends all faults. Returns what does not recover, or an empty string.
     std::string run_until_healthy();
-    // In the moment in which an edit is decided as many disks are lost as are tolerated, and all other
-    // control instances lose power. Returns what does not recover, or nothing.
+    // Right after an edit is decided, as many disks as are tolerated are lost and all other control instances
+    // lose power. Returns what does not recover, or an empty string.
     std::string run_power_loss();
 
     std::uint64_t failovers = 0;
@@ -119,9 +119,9 @@
     std::uint64_t leaves_acked = 0;
     std::uint64_t refused_edits = 0;
     std::uint64_t disks_lost = 0;
-    std::uint64_t members_removed = 0; // lost identities
+    std::uint64_t members_removed = 0; // removals of lost identities
     std::uint64_t silent_members_removed = 0;
-    std::uint64_t outages = 0; // control instances stopped, frozen or cut off
+    std::uint64_t outages = 0; // control instances stopped, frozen or partitioned
 
 private:
     using delivery = std::function<void()>;
@@ -146,9 +146,9 @@
     renewal make_renewal(const model_daemon& d) const;
     void send_renewal(std::size_t i);
     void receive_renewal(std::size_t i, std::size_t asked, const renewal& r, time_point sent,
-                      std::uint64_t control_life);
+                         std::uint64_t control_life);
     void receive_reply(model_daemon& d, std::size_t asked, const std::optional<renewal_reply>& reply,
-                    time_point sent);
+                       time_point sent);
     void catch_up(model_daemon& d, const control_core& from);
     void replicate();
     void try_write(model_daemon& d);
@@ -179,16 +179,16 @@
     std::vector<model_server> servers_;
     std::multimap<time_point, delivery> queue_;
     std::map<std::uint64_t, raft::entry> committed_; // by index, as first seen
-    cluster_state agreed_state_;                           // made from them
+    cluster_state agreed_state_;                     // state after applying committed_
     std::map<std::string, change_outcome> decided_;
-    std::map<std::string, revision_number> in_force_; // edits that an operator was told are in force
+    std::map<std::string, revision_number> in_force_; // edits reported to an operator as in force
     term_number highest_acked_term_ = 0;
     std::set<std::uint64_t> acknowledged_writes_;
     std::uint64_t next_write_ = 1;
     std::uint64_t next_edit_ = 1;
     raft::node_id founder_ = 1;
     raft::node_id next_node_ = 1;
-    bool founded_ = false; // all voters that the losses to be borne ask for have been there
+    bool founded_ = false; // the voters needed for the tolerated losses were reached once
     std::string violation_;
 };
 
--- a/tests/replication_test.cpp
+++ b/tests/replication_test.cpp
@@ -1,5 +1,5 @@
-// What a leader of the control log sends to its peers, counted in entries: each byte of it crosses failure
-// domains.
+// Tests how many entries and snapshots a leader of the control log sends to its peers: every byte crosses
+// failure domains.
 //
 // Index
 //   [three nodes]  [tests]
@@ -19,14 +19,14 @@
 // [three nodes]
 //-----------------------------------------------------------------------------
 
-// Nodes 1, 2 and 3 with 1 ms between them. A node may hang (it takes no message) or come without anything.
+// Nodes 1, 2 and 3 with a network delay of 1 ms. A hung node processes no messages; a node may start empty.
 struct three_node_cluster {
     std::map<node_id, state> nodes;
     std::map<node_id, bool> hung;
-    std::map<node_id, std::vector<message>> held_messages; // for a node that hangs
+    std::map<node_id, std::vector<message>> held_messages; // for hung nodes
     std::multimap<time_point, message> in_flight;
-    std::map<node_id, std::size_t> entries_sent;   // to each
-    std::map<node_id, std::size_t> snapshots_sent; // to each
+    std::map<node_id, std::size_t> entries_sent;   // by receiver
+    std::map<node_id, std::size_t> snapshots_sent; // by receiver
     std::mt19937_64 random{7};
     time_point now{std::chrono::seconds{10}};
     settings timing{.heartbeat_interval = milliseconds{50}, .election_timeout = milliseconds{300}};
@@ -43,7 +43,7 @@
             nodes[id] = make_state(id, timing, {}, now, random);
             bootstrap(nodes[id], founders, now, random);
         }
-        nodes[1].election_deadline = now + milliseconds{100}; // the first to stand
+        nodes[1].election_deadline = now + milliseconds{100}; // starts the first election
         run(milliseconds{400});
     }
 
@@ -97,7 +97,7 @@
 // [tests]
 //-----------------------------------------------------------------------------
 
-TEST(replication, an_entry_goes_to_each_peer_once) {
+TEST(replication, sends_each_entry_to_each_peer_once) {
     three_node_cluster n;
     ASSERT_EQ(n.leader().current_role, role::leader);
     n.entries_sent.clear();
@@ -110,8 +110,8 @@
     EXPECT_EQ(n.nodes[3].commit, last_index(n.leader()));
 }
 
-// A disk that hangs for seconds: the peer has what was sent, and says nothing.
-TEST(replication, a_peer_that_hangs_gets_each_entry_a_few_times_and_not_with_every_heartbeat) {
+// The peer's disk hangs for seconds: the peer has received the entries, but does not acknowledge them.
+TEST(replication, resends_to_hung_peer_with_backoff) {
     three_node_cluster n;
     n.hung[3] = true;
     n.entries_sent.clear();
@@ -124,7 +124,7 @@
     EXPECT_EQ(n.nodes[3].commit, last_index(n.leader()));
 }
 
-TEST(replication, an_entry_that_was_lost_on_its_way_is_sent_again_within_two_heartbeats) {
+TEST(replication, resends_lost_entry_within_two_heartbeats) {
     three_node_cluster n;
     propose(n.leader(), "edit", n.now);
     n.collect(1);
@@ -134,8 +134,8 @@
     EXPECT_EQ(n.nodes[2].log.size(), n.leader().log.size());
 }
 
-// A new leader knows nothing of what its peers hold; their refusals tell.
-TEST(replication, a_new_leader_sends_no_peer_what_it_holds) {
+// A new leader does not know which entries its peers hold; refusals report it.
+TEST(replication, new_leader_sends_only_missing_entries) {
     three_node_cluster n;
     for (int i = 0; i < 50; ++i) {
         propose(n.leader(), "edit", n.now);
@@ -146,11 +146,11 @@
     n.run(milliseconds{1500});
     const bool second_leads = n.nodes[2].current_role == role::leader;
     ASSERT_TRUE(second_leads || n.nodes[3].current_role == role::leader);
-    EXPECT_LE(n.entries_sent[second_leads ? 3 : 2], 3U) << "its own first entry";
+    EXPECT_LE(n.entries_sent[second_leads ? 3 : 2], 3U) << "only its own no-op entry";
     EXPECT_LE(n.snapshots_sent[1], 2U);
 }
 
-TEST(replication, a_new_leader_sends_no_log_to_peers_that_are_slow_to_answer) {
+TEST(replication, new_leader_sends_no_old_entries_to_slow_peers) {
     three_node_cluster n;
     for (int i = 0; i < 50; ++i) {
         propose(n.leader(), "edit", n.now);
@@ -164,11 +164,11 @@
     n.hung[peer] = true;
     n.entries_sent.clear();
     n.run(milliseconds{250});
-    EXPECT_LE(n.entries_sent[peer], 5U) << "its own first entry, again and again, and nothing before it";
+    EXPECT_LE(n.entries_sent[peer], 5U) << "only its own no-op entry, sent repeatedly";
 }
 
-// A member that joins with an empty disk does not know whom to answer until it has got something.
-TEST(replication, a_member_that_joins_gets_the_log_without_asking) {
+// A joining member with an empty disk knows no address to reply to until it has received an entry.
+TEST(replication, joining_member_receives_log_unprompted) {
     three_node_cluster n;
     for (int i = 0; i < 10; ++i) {
         propose(n.leader(), "edit", n.now);
