--- a/src/core/announcements.cpp
+++ b/src/core/announcements.cpp
@@ -1,7 +1,7 @@
 // See announcements.hpp.
 //
 // Index
-//   [records]  [founding]  [addresses]  [starts]  [public functions]
+//   [records]  [group creation]  [addresses]  [starts]  [public functions]
 #include "core/announcements.hpp"
 
 #include "core/failover.hpp"
@@ -12,8 +12,8 @@
 namespace larchpin {
 namespace {
 
-// A look at every server and every daemon; servers are forgotten after 12 s, so half a second more is
-// nothing.
+// Each check visits every server and every daemon. Servers are removed after 12 s, so a delay of half a
+// second is negligible.
 constexpr duration lost_check_interval = std::chrono::milliseconds{500};
 
 //-----------------------------------------------------------------------------
@@ -34,7 +34,8 @@
     actions.emplace_back(propose_command{register_server{record}});
     const bool already_leaving = known != s.servers.end() && known->second.leaving;
     if (record.leaving && !already_leaving) {
-        actions.emplace_back(report_event{.event = "server_leaves", .group = record.group, .server = record.id});
+        actions.emplace_back(
+            report_event{.event = "server_leaves", .group = record.group, .server = record.id});
     }
 }
 
@@ -42,7 +43,7 @@
     return make_monotonic_number(c, ++c.start_number_count);
 }
 
-// What control has last proposed of a server, or else agreed on.
+// Returns the last proposed record of a server, or else the committed one.
 const server_record* newest_record(const control_state& c, const cluster_state& s, const server_id& id) {
     const auto proposed = c.proposed_servers.find(id);
     if (proposed != c.proposed_servers.end()) {
@@ -52,23 +53,23 @@
     return known == s.servers.end() ? nullptr : &known->second;
 }
 
-// The record that an announcement asks for. A server that leaves was promised that nothing reaches it, so
-// neither a later word of it, nor silence, nor another leader takes its leaving back. Nothing of it holds for
-// a new start.
+// Returns the record to propose for an announcement. A leaving server has been promised that it gets no more
+// work, so neither a later announcement, nor silence, nor a change of leader resets `leaving`. A new start
+// inherits nothing.
 server_record make_server_record(control_state& c, const cluster_state& s, const server_announcement& a,
-                            bool is_new_start) {
+                                 bool is_new_start) {
     server_record record = a.record;
     const server_record* known = is_new_start ? nullptr : newest_record(c, s, record.id);
     record.leaving = a.leaving || a.stopped || (known != nullptr && known->leaving);
     record.start_number = known != nullptr ? known->start_number : next_start_number(c);
     if (record.slots == 0 && known != nullptr) {
-        record.slots = known->slots; // what this start told once goes on to hold
+        record.slots = known->slots; // announced once, holds for the whole start
     }
     return record;
 }
 
 //-----------------------------------------------------------------------------
-// [founding]
+// [group creation]
 //-----------------------------------------------------------------------------
 
 bool is_group_creation_pending(const control_state& c, const group_id& group) {
@@ -76,10 +77,10 @@
                        [&group](const auto& f) { return f.second.record.group == group; });
 }
 
-// The first primary that announces itself founds the group. Later ones never change a record. One that does
-// not tell its timeline is asked for it first.
+// Creates a group when its first primary announces itself. Later announcements never change the group's
+// record. A primary without a known timeline is probed for it first.
 void create_group(control_state& c, const cluster_state& s, const server_announcement& a,
-                 control_actions& actions) {
+                  control_actions& actions) {
     const group_id& group = a.record.group;
     if (!a.is_primary || s.groups.contains(group) || c.proposed_groups.contains(group)) {
         return;
@@ -109,18 +110,18 @@
 // [addresses]
 //-----------------------------------------------------------------------------
 
-// An announcement may be held up on its way until its sender has crashed and another server has come up at
-// the same address. It tells nothing of today then: not the role, not the address, not that the server is
-// leaving.
-// A start that is known to be a later one of its server is nobody that had the address before.
+// Returns true if another server has replaced the sender at its address. An announcement may be delayed
+// until its sender has crashed and another server runs at the same address; its role, address and leaving
+// state are obsolete then. A later start of a known server is never the replaced holder of the address.
 bool is_replaced(control_state& c, const cluster_state& s, const server_announcement& a, bool is_later_start,
                  time_point now) {
     const server_id& id = a.record.id;
     server_id& holder = c.address_holders[a.record.host + ":" + std::to_string(a.record.port)];
     const auto latest = c.latest_announcements.find(holder);
-    const bool holder_is_alive =
-        latest != c.latest_announcements.end() && now - latest->second.received_at <= c.config.max_announcement_age;
-    const bool known = c.latest_announcements.contains(id) || s.servers.contains(id) || c.replaced_servers.contains(id);
+    const bool holder_is_alive = latest != c.latest_announcements.end() &&
+                                 now - latest->second.received_at <= c.config.max_announcement_age;
+    const bool known =
+        c.latest_announcements.contains(id) || s.servers.contains(id) || c.replaced_servers.contains(id);
     if (holder != id && (is_later_start || !(known && holder_is_alive))) {
         if (!holder.value.empty()) {
             c.replaced_servers.insert(holder);
@@ -135,52 +136,59 @@
 // [starts]
 //-----------------------------------------------------------------------------
 
-// How far the newest start that is known of a server has come.
+// Start time and sequence number of the newest known announcement of a server.
 struct announcement_stamp {
     std::uint64_t start_time_ms = 0;
     std::uint64_t sequence = 0;
 };
 
-std::optional<announcement_stamp> newest_stamp(const control_state& c, const cluster_state& s, const server_id& id) {
+std::optional<announcement_stamp> newest_stamp(const control_state& c, const cluster_state& s,
+                                               const server_id& id) {
     const auto latest = c.latest_announcements.find(id);
     if (latest != c.latest_announcements.end()) {
         return announcement_stamp{.start_time_ms = latest->second.announcement.record.start_time_ms,
-                          .sequence = latest->second.announcement.sequence};
+                                  .sequence = latest->second.announcement.sequence};
     }
     const auto stopped = c.stopped_starts.find(id);
     if (stopped != c.stopped_starts.end()) {
-        return announcement_stamp{.start_time_ms = stopped->second, .sequence = std::numeric_limits<std::uint64_t>::max()};
+        return announcement_stamp{.start_time_ms = stopped->second,
+                                  .sequence = std::numeric_limits<std::uint64_t>::max()};
     }
     const server_record* known = newest_record(c, s, id);
-    return known == nullptr ? std::nullopt : std::optional{announcement_stamp{.start_time_ms = known->start_time_ms}};
+    return known == nullptr ? std::nullopt
+                            : std::optional{announcement_stamp{.start_time_ms = known->start_time_ms}};
 }
 
-// What looks overtaken was held up on its way, and ends; or a clock was set back while its server was down,
-// two starts fell into one millisecond, or the server tells no start. Then it goes on, rising, while nothing
-// is heard of the start that is taken for the later one.
+// Returns true once an outdated-looking announcement proves to come from a new start. Delayed announcements
+// cease. A new start looks outdated if the clock was set back while the server was down, if two starts fell
+// into one millisecond or if the server reports no start time. Its announcements continue with rising
+// sequence numbers while the other start is silent.
 bool confirms_new_start(control_state& c, const server_announcement& a, time_point now) {
     unverified_start& d = c.unverified_starts[a.record.id];
     const bool same = d.start_time_ms == a.record.start_time_ms && a.sequence >= d.sequence &&
                       now - d.last_received_at <= c.config.max_announcement_age;
     if (!same) {
-        d = {.start_time_ms = a.record.start_time_ms, .sequence = a.sequence, .first_received_at = now, .last_received_at = now};
+        d = {.start_time_ms = a.record.start_time_ms,
+             .sequence = a.sequence,
+             .first_received_at = now,
+             .last_received_at = now};
         return false;
     }
     const bool increased = a.sequence > d.sequence;
     d.sequence = a.sequence;
     d.last_received_at = now;
     const auto latest = c.latest_announcements.find(a.record.id);
-    const bool other_is_silent =
-        latest == c.latest_announcements.end() || now - latest->second.received_at > c.config.max_announcement_age;
+    const bool other_is_silent = latest == c.latest_announcements.end() ||
+                                 now - latest->second.received_at > c.config.max_announcement_age;
     return increased && other_is_silent && now - d.first_received_at >= c.config.max_announcement_age;
 }
 
 enum class announcement_order : std::uint8_t { outdated, same_start, new_start };
 
-// A later start goes before any count, within one start the count decides. One that does not tell its start
-// is taken for the known one.
+// Orders an announcement by its start time, then by its sequence number. An announcement without a start
+// time is taken for the known start.
 announcement_order compare_to_newest(control_state& c, const cluster_state& s, const server_announcement& a,
-                            time_point now) {
+                                     time_point now) {
     const auto newest = newest_stamp(c, s, a.record.id);
     if (!newest) {
         return announcement_order::new_start;
@@ -205,10 +213,10 @@
     return highest;
 }
 
-// Nothing that was known of an earlier start is believed of this one. As its group's primary it may hold
-// nothing, whatever it says of itself: whoever has the longest log goes on.
+// Discards all that is known of the earlier start. A restarted primary may have lost its data regardless of
+// its announced role, so the server with the longest log becomes primary.
 void handle_new_start(control_state& c, const cluster_state& s, const server_announcement& a, time_point now,
-                    control_actions& actions) {
+                      control_actions& actions) {
     const server_id& id = a.record.id;
     const log_position position_before = highest_seen_position(c, id);
     c.unverified_starts.erase(id);
@@ -221,7 +229,8 @@
     if (known == s.servers.end()) {
         return;
     }
-    actions.emplace_back(report_event{.event = "server_started_again", .group = a.record.group, .server = id});
+    actions.emplace_back(
+        report_event{.event = "server_started_again", .group = a.record.group, .server = id});
     const auto group = s.groups.find(known->second.group);
     if (group != s.groups.end()) {
         handle_server_restart(c, s, group->second, id, position_before, now, actions);
@@ -234,8 +243,8 @@
 // [public functions]
 //-----------------------------------------------------------------------------
 
-void handle_announcement(control_state& c, const cluster_state& s, const server_announcement& a, time_point now,
-                       control_actions& actions) {
+void handle_announcement(control_state& c, const cluster_state& s, const server_announcement& a,
+                         time_point now, control_actions& actions) {
     const server_id& id = a.record.id;
     const announcement_order order = compare_to_newest(c, s, a, now);
     if (order == announcement_order::outdated) {
@@ -244,7 +253,7 @@
     const bool is_new_start = order == announcement_order::new_start;
     const server_record* known = newest_record(c, s, id);
     if (!is_new_start && known != nullptr && known->group != a.record.group) {
-        return; // another writer's: a server keeps its group
+        return; // from another process: a server never changes its group
     }
     if (is_replaced(c, s, a, is_new_start && newest_stamp(c, s, id).has_value(), now)) {
         return;
@@ -254,7 +263,7 @@
     }
     c.latest_announcements[id] = received_announcement{.announcement = a, .received_at = now};
     if (a.stopped) {
-        c.stopped_starts[id] = a.record.start_time_ms; // on_tick() lets go of its record
+        c.stopped_starts[id] = a.record.start_time_ms; // on_tick() removes the record
         if (!s.servers.contains(id)) {
             return;
         }
@@ -266,18 +275,18 @@
 }
 
 void finish_group_creation(control_state& c, const cluster_state& s, const server_answer& answer,
-                     control_actions& actions) {
+                           control_actions& actions) {
     server_announcement announcement = c.pending_group_creations.at(answer.operation);
     c.pending_group_creations.erase(answer.operation);
     if (!answer.answered || !answer.is_primary) {
-        return; // its next announcement tries again
+        return; // the next announcement retries
     }
     announcement.timeline = answer.timeline;
     create_group(c, s, announcement, actions);
 }
 
 void remove_if_stopped(control_state& c, const cluster_state& s, const server_announcement& a,
-                    control_actions& actions) {
+                       control_actions& actions) {
     const auto group = s.groups.find(a.record.group);
     const bool is_primary = group != s.groups.end() && group->second.primary == a.record.id;
     if (!a.stopped || is_primary || !s.servers.contains(a.record.id)) {
@@ -293,15 +302,17 @@
         return;
     }
     c.lost_servers_checked_at = now;
-    const bool any_recent = std::any_of(c.latest_announcements.begin(), c.latest_announcements.end(), [&](const auto& a) {
-        return now - a.second.at <= c.config.max_announcement_age;
-    });
+    const bool any_recent =
+        std::any_of(c.latest_announcements.begin(), c.latest_announcements.end(), [&](const auto& a) {
+            return now - a.second.received_at <= c.config.max_announcement_age;
+        });
     if (!any_recent || now - c.leading_since < c.config.lost_server_timeout) {
         return;
     }
     for (const auto& [id, server] : s.servers) {
         const auto latest = c.latest_announcements.find(id);
-        const bool silent = latest == c.latest_announcements.end() || now - latest->second.received_at >= c.config.lost_server_timeout;
+        const bool silent = latest == c.latest_announcements.end() ||
+                            now - latest->second.received_at >= c.config.lost_server_timeout;
         const auto group = s.groups.find(server.group);
         const bool is_primary = group != s.groups.end() && group->second.primary == id;
         if (silent && !is_primary && !is_reported_alive(c, id, now) && c.proposed_removals.insert(id).second) {
--- a/src/core/announcements.hpp
+++ b/src/core/announcements.hpp
@@ -1,30 +1,32 @@
-// What backend servers say of themselves, and what control makes of it: records, groups, starts.
+// Processes the announcements of backend servers: records, groups and restarts.
 //
-// A server is known by its id, and each of its starts by when it started. Of announcements the later start
-// goes first, within one start the count; an earlier start changes nothing. Clocks of servers step, so a
-// start may look earlier than the one before: it is believed once its announcements have gone on for
-// announcement_age while nothing is heard of the other. What cannot be told apart: a start with the figure of
-// the one before, whose count has come further than that one's had; it is taken for the same start.
+// A server is identified by its id, and each of its starts by the start time. The announcement with the
+// later start time is newer; within one start, the higher sequence number is newer. Announcements of an
+// earlier start are ignored. A server's clock may step back, so a new start may look earlier than the
+// previous one. It is accepted once its announcements have continued for max_announcement_age without any
+// announcement of the other start. One case cannot be detected: a start with the start time of the previous
+// one and a higher sequence number is taken for the same start.
 #pragma once
 
 #include "core/control.hpp"
 
 namespace larchpin {
 
-// An announcement has come with a daemon's renewal; the same one may come several times, by several daemons.
-void handle_announcement(control_state& c, const cluster_state& s, const server_announcement& a, time_point now,
-                       control_actions& actions);
+// Processes an announcement that arrived with a daemon's renewal. Several daemons may deliver the same one
+// repeatedly.
+void handle_announcement(control_state& c, const cluster_state& s, const server_announcement& a,
+                         time_point now, control_actions& actions);
 
-// The server that is to found a group has answered with its timeline.
+// Creates a group once its future primary has answered with its timeline.
 void finish_group_creation(control_state& c, const cluster_state& s, const server_answer& answer,
-                     control_actions& actions);
+                           control_actions& actions);
 
-// A server that has ended loses its record, unless a group still needs another primary in its place.
+// Removes the record of a stopped server, unless the server is still the primary of its group.
 void remove_if_stopped(control_state& c, const cluster_state& s, const server_announcement& a,
-                    control_actions& actions);
+                       control_actions& actions);
 
-// So does one that neither announces itself nor answers any more, while others announce themselves: it is
-// gone without a word. Should it come back, it announces itself.
+// Removes servers that neither announce themselves nor answer while other servers announce themselves. A
+// removed server returns by announcing itself.
 void remove_lost_servers(control_state& c, const cluster_state& s, time_point now, control_actions& actions);
 
 } // namespace larchpin
--- a/src/core/cluster_state.cpp
+++ b/src/core/cluster_state.cpp
@@ -22,7 +22,8 @@
     }
 }
 
-// Not remembered by its id: its version says whether it has been done already.
+// Applies an edit that carries its own version. It needs no entry in recorded_changes: the version tells
+// whether the edit has been applied already.
 change_outcome apply_versioned_edit(cluster_state& s, revision_number index, const edit_table& edit) {
     change_outcome outcome{.code = result_code::ok, .table_revision = s.table_revision, .revision = index};
     if (!check_table(edit.next).empty()) {
@@ -51,7 +52,7 @@
         outcome.code = result_code::table_invalid;
     } else {
         s.current_table = edit.next;
-        s.document.clear(); // it no longer says what is in force
+        s.document.clear(); // the document no longer matches the table
         s.table_revision = index;
         outcome.table_revision = index;
     }
@@ -124,7 +125,7 @@
     return {};
 }
 
-// Names no key: what is refused is logged.
+// Checks workspaces and keys. The message contains no key, because it is logged.
 std::string check_workspaces(const table& t) {
     for (const workspace_entry& w : t.workspaces) {
         if (w.id.value.empty() || w.id.value.size() > max_name_length) {
@@ -189,7 +190,7 @@
     const bool unique = sorted_unique(t.services, id_of) && sorted_unique(t.servers, id_of) &&
                         sorted_unique(t.routes, [](const route_entry& r) { return r.database; });
     if (!unique || !sorted_unique(t.workspaces, id_of)) {
-        return "an entry stands twice";
+        return "duplicate entry";
     }
     if (!sorted_unique(t.keys, [](const workspace_key& k) { return k.digest; })) {
         return "one key stands twice";
--- a/src/core/cluster_state.hpp
+++ b/src/core/cluster_state.hpp
@@ -1,7 +1,7 @@
-// The state that control agrees on: the operators' table and one record per group, server and instance.
+// Replicated state of the control group: the operators' table and one record per group, server and instance.
 //
 // Every daemon holds a copy and applies the same commands in the same order, so apply() must depend on
-// nothing but its arguments. A command that comes too late (another edit, another term) changes nothing.
+// nothing but its arguments. A command based on an outdated edit or term changes nothing.
 //
 // Index
 //   [table]  [records]  [commands]  [functions]
@@ -20,116 +20,117 @@
 namespace larchpin {
 
 //-----------------------------------------------------------------------------
-// [table] what operators edit
+// [table] edited by operators
 //-----------------------------------------------------------------------------
 
 struct service_entry {
     service_id id;
-    unsigned max_connections = 20;               // to one backend server, over all daemons, 1..1000
+    unsigned max_connections = 20;               // per backend server, over all daemons, 1..1000
     duration deadline = std::chrono::seconds{5}; // per request, 10 ms..1 h
-    duration max_staleness{0};                   // of reads that state nothing else; 0: read-your-writes
-    bool write_safety = false;                   // acknowledge only what a second failure domain holds
+    duration max_staleness{0};                   // default for reads that set no bound; 0 = read-your-writes
+    bool write_safety = false;                   // acknowledge only writes held by a second failure domain
     unsigned background_share = 50; // percent of a daemon's connections for class "background", 1..100
     auto operator<=>(const service_entry&) const = default;
 };
 
-// A customer, and what it may ask for a second, over all daemons.
+// A tenant with its rate limit over all daemons.
 struct workspace_entry {
     workspace_id id;
-    unsigned priority = 2; // 0 is the highest
-    unsigned rate = 0;     // operations a second, 0..1000000; 0: as many as it likes
-    unsigned burst = 0;    // operations at once beyond the rate, 0..1000000; 0 counts as 1
+    unsigned priority = 2; // 0 = highest
+    unsigned rate = 0;     // operations per second, 0..1000000; 0 = unlimited
+    unsigned burst = 0;    // operations beyond the rate at once, 0..1000000; 0 counts as 1
     auto operator<=>(const workspace_entry&) const = default;
 };
 
-// Opens sessions of a workspace. The table holds the key's digest only: what is passed on to every daemon
-// must not open anything where it leaks.
+// An API key that opens sessions of a workspace. Only the key's digest is stored, because the table is
+// copied to every daemon and a leaked copy must not give access.
 struct workspace_key {
-    std::string digest; // key_digest_bytes of SHA-256
+    std::string digest; // SHA-256, key_digest_bytes long
     workspace_id workspace;
     auto operator<=>(const workspace_key&) const = default;
 };
 constexpr std::size_t key_digest_bytes = 32;
 
-// What the reads of a route are owed.
+// Consistency level of a route's reads.
 enum class read_consistency : std::uint8_t {
-    session = 0, // by the session's own settings (larchpin.read_mode, larchpin.max_staleness_ms)
-    primary,     // every write that was acknowledged to anyone before
-    bounded,     // every write that is older than the route's max_staleness
-    own_writes,  // the same, and the session's own writes
+    session = 0, // set by the session (larchpin.read_mode, larchpin.max_staleness_ms)
+    primary,     // sees every write acknowledged before
+    bounded,     // sees every write older than the route's max_staleness
+    own_writes,  // `bounded`, and sees the session's own writes
 };
 
-// A database name that callers may ask for, and what its requests are owed. A group without any route is
-// asked for by its own name, with the service that the caller states as its user.
+// A database name that clients connect to, with the settings of its requests. A group without a route is
+// reached by its own name, and the client's user name selects the service.
 struct route_entry {
-    std::string database; // as callers name it
-    group_id group;       // that serves it
-    service_id service;   // whose connections its requests use
+    std::string database; // as named by clients
+    group_id group;       // serves the database
+    service_id service;   // whose connections the requests use
     read_consistency consistency = read_consistency::session;
     duration max_staleness{0};                            // for `bounded` and `own_writes`, 0..1 h
-    duration statement_timeout = std::chrono::seconds{5}; // for one statement, 1 ms..1 h
-    duration latency_objective{0};                                // latency aimed at for a whole operation; 0: none
-    unsigned priority = 2;                                // 0 goes first, then 1, 2; 3 and more last
-    unsigned max_attempts = 3;                            // servers tried for one statement, 1..10
-    bool is_public = false;                               // its sessions need no key
+    duration statement_timeout = std::chrono::seconds{5}; // per statement, 1 ms..1 h
+    duration latency_objective{0};                        // target for a whole operation; 0 = none
+    unsigned priority = 2;                                // 0 = highest, then 1, 2; 3 and above last
+    unsigned max_attempts = 3;                            // servers tried per statement, 1..10
+    bool is_public = false;                               // sessions need no key
     auto operator<=>(const route_entry&) const = default;
 };
 
 struct server_entry {
     server_id id;
-    unsigned weight = 100; // share of reads beside the other replicas, 0..1000; 0: no reads
+    unsigned weight = 100; // share of reads relative to other replicas, 0..1000; 0 = no reads
     bool leaving = false;  // gets no new work
     auto operator<=>(const server_entry&) const = default;
 };
 
 struct table {
-    std::vector<service_entry> services;     // sorted by id, unique
-    std::vector<server_entry> servers;       // sorted by id, unique; servers without an entry get defaults
-    std::vector<route_entry> routes;         // sorted by database, unique
-    duration transaction_idle_timeout{0};            // a transaction idle for longer is rolled back; 0: never
-    bool requires_key = false;                  // sessions are opened by the key of a workspace
+    std::vector<service_entry> services;  // sorted by id, unique
+    std::vector<server_entry> servers;    // sorted by id, unique; defaults apply to servers without an entry
+    std::vector<route_entry> routes;      // sorted by database, unique
+    duration transaction_idle_timeout{0}; // idle limit before rollback; 0 = none
+    bool requires_key = false;            // sessions need a workspace's key
     std::vector<workspace_entry> workspaces; // sorted by id, unique
     std::vector<workspace_key> keys;         // sorted by digest, unique: no key opens two workspaces
     bool operator==(const table&) const = default;
 };
 
 //-----------------------------------------------------------------------------
-// [records] what the system itself keeps
+// [records] maintained by control
 //-----------------------------------------------------------------------------
 
-// A server may start again under its id, and then holds and knows nothing of before. What is known of one
-// start (its position, its role, that it leaves) says nothing of another.
+// A backend server. Each start of a server under the same id is a new process without the earlier one's
+// data, so the known position, role and leaving state of one start do not apply to another.
 struct server_record {
     server_id id;
     group_id group;
-    std::string host; // IP number
+    std::string host; // IP address
     std::uint16_t port = 0;
     failure_domain domain;
-    bool leaving = false;           // this start: agreed before it is acknowledged, and never taken back
-    std::uint64_t start_time_ms = 0;      // Unix milliseconds by the server's own clock; 0: it does not tell
-    std::uint64_t start_number = 0; // by control: another one for every start that it tells apart
-    unsigned slots =
-        0; // statements that it runs at once, as this start told, 1..max_server_slots; 0: not told
+    bool leaving = false;            // of this start; replicated before it is acknowledged, and irrevocable
+    std::uint64_t start_time_ms = 0; // Unix time by the server's clock, ms; 0 = unknown
+    std::uint64_t start_number = 0;  // assigned by control, distinct for every detected start
+    unsigned slots = 0; // concurrent statements announced by this start, 1..max_server_slots; 0 = unknown
     auto operator<=>(const server_record&) const = default;
 };
 
-constexpr unsigned max_server_slots = 10'000; // statements that a server may tell to run at once
+constexpr unsigned max_server_slots = 10'000; // concurrent statements that a server may announce
 
-// An instance keeps its record for good, so that what it may do while cut off is known.
+// A larchpin instance. The record is never removed, so that an instance's permissions are known while it is
+// cut off.
 struct instance_record {
     instance_id id;
     failure_domain domain;
-    std::string address;        // "ip:port" of the peer listener
-    bool accepts_clients = false; // has sessions, and so uses connections
+    std::string address;          // "ip:port" of the peer listener
+    bool accepts_clients = false; // has sessions and therefore uses connections
     auto operator<=>(const instance_record&) const = default;
 };
 
 enum class group_phase : std::uint8_t {
-    serving = 0, // the primary of this term takes writes
-    fencing = 1, // no writes; a new primary is being chosen
+    serving = 0, // the primary of this term accepts writes
+    fencing = 1, // writes are blocked until a new primary is chosen
 };
 
-// Where a term's log begins: a session that saw more of an older term saw writes that are lost.
+// Position at which a term's log begins. A session with a higher position in an older term has read lost
+// writes.
 struct term_start {
     term_number term = 0;
     log_position position = 0;
@@ -140,9 +141,9 @@
     group_id id;
     term_number term = 0;
     server_id primary;
-    std::uint64_t primary_start_number = 0; // the start of it that was made the primary; 0: not known
+    std::uint64_t primary_start_number = 0; // start number of the process made primary; 0 = unknown
     group_phase phase = group_phase::serving;
-    std::uint64_t timeline = 0;     // the primary's own count of promotions
+    std::uint64_t timeline = 0;          // the primary's promotion counter
     std::vector<term_start> term_starts; // oldest first, the last max_term_starts
     auto operator<=>(const group_record&) const = default;
 };
@@ -152,7 +153,7 @@
 
 struct change_outcome {
     result_code code = result_code::ok;
-    revision_number table_revision = 0; // of the table after it
+    revision_number table_revision = 0; // table revision after the edit
     revision_number revision = 0;       // index at which it was applied
     auto operator<=>(const change_outcome&) const = default;
 };
@@ -164,16 +165,16 @@
 };
 
 struct cluster_state {
-    revision_number revision = 0;       // index of the last command applied
-    revision_number table_revision = 0; // index of the last table edit that was taken
+    revision_number revision = 0;       // index of the last applied command
+    revision_number table_revision = 0; // index of the last accepted table edit
     table current_table;
-    std::uint64_t table_version = 0; // the operators' own number of it; 0: edited by revision
-    std::string document;            // what the operator sent, for reading back; empty: nothing
+    std::uint64_t table_version = 0; // version assigned by the operators; 0 = edited by revision
+    std::string document;            // table as sent by the operator, for reading back; may be empty
     std::map<group_id, group_record> groups;
     std::map<server_id, server_record> servers;
     std::map<instance_id, instance_record> instances;
-    revision_number instances_revision = 0; // index at which an instance's record last changed
-    std::deque<recorded_change> recorded_changes;  // oldest first, bounded
+    revision_number instances_revision = 0;       // index at which an instance's record last changed
+    std::deque<recorded_change> recorded_changes; // oldest first, bounded
     bool operator==(const cluster_state&) const = default;
 };
 
@@ -181,13 +182,13 @@
 // [commands]
 //-----------------------------------------------------------------------------
 
-// An edit either names the revision that it was made from, or a version of its own. Of versions the highest
-// wins: an edit whose version is not above the table's is taken as done and changes nothing.
+// Replaces the table. An edit carries either the revision that it is based on or a version of its own. The
+// highest version wins: an edit whose version is not above the table's succeeds and changes nothing.
 struct edit_table {
-    std::string change_id;                 // the same id means the same change: it is decided once
-    revision_number expected_revision = 0; // of the table that was edited; unused where there is a version
-    std::uint64_t version = 0;             // 0: by revision
-    std::string document;                  // kept beside the table, for reading back
+    std::string change_id;                 // makes the edit idempotent
+    revision_number expected_revision = 0; // of the table before the edit; unused with a version
+    std::uint64_t version = 0;             // 0 = by revision
+    std::string document;                  // stored with the table, for reading back
     table next;
     bool operator==(const edit_table&) const = default;
 };
@@ -197,7 +198,7 @@
     bool operator==(const register_server&) const = default;
 };
 
-// A server that has said goodbye. A group's present primary stays until another one has taken over.
+// Removes a server that has announced its stop. A group's current primary cannot be removed.
 struct remove_server {
     server_id id;
     bool operator==(const remove_server&) const = default;
@@ -208,7 +209,7 @@
     bool operator==(const register_instance&) const = default;
 };
 
-// Takes effect only while the group is still as the proposer saw it.
+// Replaces a group's record if its term and phase are still the expected ones.
 struct set_group {
     term_number expected_term = 0;
     group_phase expected_phase = group_phase::serving;
@@ -223,36 +224,36 @@
 // [functions]
 //-----------------------------------------------------------------------------
 
-// Applies one command at its index. The outcome's code is ok or says why nothing changed.
+// Applies one command at its index. The outcome's code is ok or the reason why nothing changed.
 change_outcome apply(cluster_state& s, revision_number index, const command& c);
 
-// The outcome of an earlier edit with this id.
+// Returns the outcome of an earlier edit with this id.
 std::optional<change_outcome> find_change(const cluster_state& s, const std::string& change_id);
 
-// An empty string, or the rule that the table breaks.
+// Returns an empty string, or a description of the first violated rule.
 std::string check_table(const table& t);
 
 const service_entry* find_service(const table& t, const service_id& id);
 
-// Nothing where no route has this name.
+// Returns null if no route has this name.
 const route_entry* find_route(const table& t, const std::string& database);
 
-// Nothing where there is no workspace of this name.
+// Returns null if no workspace has this name.
 const workspace_entry* find_workspace(const table& t, const workspace_id& id);
 
-// Nothing where no workspace holds the key with this digest.
+// Returns null if no workspace holds the key with this digest.
 const workspace_key* find_key(const table& t, const std::string& digest);
 
-// The operators' entry, or the defaults where there is none.
+// Returns the operators' entry, or defaults if there is none.
 server_entry server_settings(const table& t, const server_id& id);
 
-// The process that was made the primary has ended, and another one runs under its name.
+// Returns true if the process that was made primary has ended and another one runs under the same id.
 bool has_primary_restarted(const cluster_state& s, const group_record& group);
 
 std::vector<server_record> servers_of(const cluster_state& s, const group_id& group);
 
-// The largest position of `term` that later terms still hold; nothing where the term is unknown.
-// A session beyond it has seen writes that are lost.
+// Returns the largest position of `term` that later terms still hold, or nothing if the term is unknown. A
+// session beyond this position has read lost writes.
 std::optional<log_position> surviving_position(const group_record& group, term_number term);
 
 } // namespace larchpin
--- a/src/core/control.cpp
+++ b/src/core/control.cpp
@@ -16,7 +16,7 @@
 namespace {
 
 constexpr std::size_t max_unconfirmed_replies = 32;
-constexpr unsigned leader_term_shift = 40; // leaves a leader 2^40 of them
+constexpr unsigned leader_term_shift = 40; // 2^40 numbers per leader
 
 //-----------------------------------------------------------------------------
 // [leases]
@@ -31,7 +31,7 @@
 }
 
 void remove_expired_leases(daemon_state& d, time_point now) {
-    while (d.leases.size() > 1 && d.leases.front().expires_at <= now) { // the last one tells when it ended
+    while (d.leases.size() > 1 && d.leases.front().expires_at <= now) { // the last one records when it ended
         d.leases.pop_front();
     }
 }
@@ -40,7 +40,8 @@
     return now - c.leading_since >= grantor_lease_duration(c.config.lease);
 }
 
-// A grant of an older revision may still be acted upon until it runs out, unless the daemon has confirmed.
+// Returns true if the daemon may act on a lease of an older revision: it has not confirmed this one, and
+// such a lease has not expired.
 bool may_use_older_revision(const daemon_state& d, revision_number revision, time_point now) {
     if (d.confirmed_revision >= revision) {
         return false;
@@ -54,16 +55,19 @@
 // [lost instances]
 //-----------------------------------------------------------------------------
 
-// Neither a lease of it counts any more, nor has it renewed lately. A stopping one gives its lease back.
+// Returns true if the instance has no valid lease and has not renewed for the length of a lease. A stopping
+// instance returns its lease and is not lost at once.
 bool is_lost(const control_state& c, const instance_id& id, time_point now) {
     const auto d = c.daemons.find(id);
     if (d == c.daemons.end()) {
-        return true; // asked for once all earlier leases have run out
+        return true; // only called when all earlier leases have expired
     }
-    return !has_live_lease(d->second, now) && now - d->second.last_renewal_at >= grantor_lease_duration(c.config.lease);
+    return !has_live_lease(d->second, now) &&
+           now - d->second.last_renewal_at >= grantor_lease_duration(c.config.lease);
 }
 
-// A leader that does not know yet whom its predecessor granted a lease calls nobody lost.
+// Determines the lost instances. A leader that does not yet know its predecessors' leases reports none as
+// lost.
 void update_lost_instances(control_state& c, const cluster_state& s, time_point now) {
     if (!is_check_due(c.lost, c.config.lease, now) || !knows_all_leases(c, s, now)) {
         return;
@@ -81,8 +85,10 @@
     return c.lost.instances.empty() ? 0 : make_monotonic_number(c, c.lost.change_count);
 }
 
-// Whoever goes by an earlier leader's set keeps it until this one knows better.
-std::optional<lost_update> make_lost_update(const control_state& c, const cluster_state& s, const renewal& r) {
+// Returns an update for a daemon with another version. A daemon keeps an earlier leader's set until this
+// leader has completed a check.
+std::optional<lost_update> make_lost_update(const control_state& c, const cluster_state& s,
+                                            const renewal& r) {
     const std::uint64_t version = lost_version(c);
     if (r.lost_version == version || !c.lost.is_known) {
         return std::nullopt;
@@ -115,8 +121,8 @@
 // [shares]
 //-----------------------------------------------------------------------------
 
-// The daemons that keep one connection even without a lease. Ranking all instances is too much for every
-// renewal, so it is remembered until an instance's record changes.
+// Updates the daemons that keep one connection even without a lease. Ranking all instances on every renewal
+// is too expensive, so the result is cached until an instance's record changes.
 void update_reserves(control_state& c, const cluster_state& s, const share_key& key,
                      const server_record& server) {
     if (c.shares.accounts[key].reserves_revision != s.instances_revision) {
@@ -124,9 +130,9 @@
     }
 }
 
-// The daemon has acted upon a reply of this leader, so it acts upon none of an earlier one any more, and what
-// it claims is all that it holds. The first renewal that arrives may have been sent before an earlier
-// leader's last grant, and claim less.
+// Returns true if the daemon has acted upon a reply of this leader. It then follows no earlier leader's
+// reply, and its claims cover all that it holds. Its first renewal is not enough: it may have been sent
+// before an earlier leader's last grant and claim less.
 bool has_acknowledged_leader(const control_state& c, const instance_id& daemon) {
     const auto d = c.daemons.find(daemon);
     return d != c.daemons.end() && leader_term_of(d->second.last_reply_seq) == c.leader_term;
@@ -134,13 +140,13 @@
 
 bool all_holders_acknowledged(const control_state& c, const cluster_state& s) {
     return std::all_of(s.instances.begin(), s.instances.end(), [&c](const auto& i) {
-        return !i.second.takes_callers || has_acknowledged_leader(c, i.first);
+        return !i.second.accepts_clients || has_acknowledged_leader(c, i.first);
     });
 }
 
-// Whoever may still hold connections by an earlier leader's word has told this one. Instances without callers
-// hold none, so one that is gone for good, as a replaced control instance is, need not be waited out: that
-// would take the length of a lease at each start.
+// Returns true if every daemon that may hold connections granted by an earlier leader has acknowledged this
+// one. Instances without clients hold none and are not waited for: waiting for one that never returns, such
+// as a replaced control instance, would take the length of a lease at each start.
 bool knows_all_holders(const control_state& c, const cluster_state& s, time_point now) {
     if (!c.leading || earlier_leases_expired(c, now)) {
         return c.leading;
@@ -157,18 +163,19 @@
     }
     const auto record = s.instances.find(daemon);
     if (record == s.instances.end() || !record->second.accepts_clients) {
-        return 0; // no such record is committed yet, so the others' shares do not count it
+        return 0; // the record is not committed, so other shares do not account for it
     }
     update_reserves(c, s, claim.key, server->second);
     const unsigned limit = connections_for_requests(service->max_connections, c.config.kept_connections);
     const share_decision decision =
         decide_share(c.shares, claim.key, c.daemons[daemon].holder, claim.wanted, limit, now);
-    // Until it is known what everyone holds, nobody gets more than it has.
+    // Until all holdings are known, no daemon gets more than it has.
     const unsigned cap = all_holders_known ? decision.target : std::min(decision.target, claim.in_effect);
     return next_share(limit, cap, decision.held_by_others);
 }
 
-// Whoever may hold a part of a share stays a holder of it until it is known to hold nothing.
+// Replaces the daemon's claims. The daemon remains a holder of a share until it is known to hold nothing of
+// it.
 void update_claims(control_state& c, daemon_state& d, const std::vector<share_claim>& claims) {
     d.claims.clear();
     for (const share_claim& claim : claims) {
@@ -188,7 +195,7 @@
 }
 
 void grant_shares(control_state& c, const cluster_state& s, const renewal& r, time_point now,
-                   renewal_reply& reply) {
+                  renewal_reply& reply) {
     daemon_state& d = c.daemons[r.instance.id];
     sent_shares sent{.seq = reply.seq, .shares = {}};
     const bool all_holders_known = knows_all_holders(c, s, now);
@@ -204,8 +211,8 @@
 // [observers]
 //-----------------------------------------------------------------------------
 
-// Chooses one observer a failure domain among the daemons that report. Done anew only when those, or the
-// servers, have changed: every daemon's rank for every server is looked at.
+// Selects one observer per failure domain among the reporting daemons. Ranks every daemon for every server,
+// so it runs only if the daemons or the servers have changed.
 void assign_observers(control_state& c, const cluster_state& s, time_point now) {
     std::vector<observer_candidate> live;
     for (const auto& [id, d] : c.daemons) {
@@ -231,31 +238,36 @@
 // [renewals]
 //-----------------------------------------------------------------------------
 
-// Lives of an instance are ordered by the time of day at their start. Where that was set back, the next one
-// counts once the known one has been silent for a lease.
+// Returns true if the renewal is from a later start of the instance than the known one. Starts are ordered
+// by the time of day. If the clock was set back, the new start is accepted once the known one has been
+// silent for a lease.
 bool is_next_incarnation(const control_state& c, const daemon_state& d, const renewal& r, time_point now) {
-    const bool known_has_ended = !has_live_lease(d, now) && now - d.last_renewal_at >= grantor_lease_duration(c.config.lease);
+    const bool known_has_ended =
+        !has_live_lease(d, now) && now - d.last_renewal_at >= grantor_lease_duration(c.config.lease);
     return r.incarnation > d.incarnation || (r.incarnation < d.incarnation && known_has_ended);
 }
 
-// Sent before the daemon acted upon a reply that a later renewal has named. What it claims may be less than
-// the daemon holds by now, and others would be given the difference.
+// Returns true if the renewal was sent before the daemon acted upon a reply that a later renewal
+// acknowledged. Its claims may be less than the daemon's holdings, and the difference would be granted to
+// others.
 bool is_out_of_order(const daemon_state& d, const renewal& r) {
     return r.last_reply_seq < d.last_reply_seq;
 }
 
-// Takes what the daemon says of itself and of servers.
+// Replaces the daemon's claims and its observations of servers.
 void apply_claims_and_observations(control_state& c, daemon_state& d, const renewal& r) {
     d.last_reply_seq = r.last_reply_seq;
     d.observations.clear();
     for (const server_observation& o : r.observations) {
         d.observations[o.server] = o;
     }
-    std::erase_if(d.unconfirmed_replies, [&r](const sent_shares& sent) { return sent.seq <= r.last_reply_seq; });
+    std::erase_if(d.unconfirmed_replies,
+                  [&r](const sent_shares& sent) { return sent.seq <= r.last_reply_seq; });
     update_claims(c, d, r.claims);
 }
 
-// None before the daemon's record is in the log: the next leader would not know whose lease to wait for.
+// Grants a lease once the daemon's record is in the log: without it the next leader would not know that it
+// must wait for this lease.
 void grant_lease(control_state& c, const cluster_state& s, const renewal& r, time_point now,
                  renewal_reply& reply) {
     if (!s.instances.contains(r.instance.id)) {
@@ -330,14 +342,14 @@
     renewal_reply reply;
     daemon_state& d = c.daemons[r.instance.id];
     if (is_next_incarnation(c, d, r, now)) {
-        const auto leases = d.leases; // the earlier life may not be dead yet, only slow
+        const auto leases = d.leases; // the earlier process may be slow rather than dead
         d = daemon_state{};
         d.leases = leases;
         d.incarnation = r.incarnation;
         c.rates.last_requests.erase(r.instance.id);
         remove_holder(c.shares, assign_holder_number(c.shares, r.instance.id));
     } else if (r.incarnation != d.incarnation) {
-        reply.code = result_code::bad_message; // an earlier life of this instance
+        reply.code = result_code::bad_message; // from an earlier start of this instance
         return reply;
     }
     d.holder = assign_holder_number(c.shares, r.instance.id);
@@ -394,7 +406,7 @@
     });
     for (const server_id& id : c.proposed_removals) {
         if (!s.servers.contains(id)) {
-            c.latest_announcements.erase(id); // whoever comes back starts anew
+            c.latest_announcements.erase(id); // a returning server is a new one
             c.proposed_servers.erase(id);
         }
     }
@@ -478,7 +490,7 @@
 }
 
 std::vector<instance_id> unconfirmed_daemons(const control_state& c, const cluster_state& s,
-                                      revision_number revision, time_point now) {
+                                             revision_number revision, time_point now) {
     std::vector<instance_id> found;
     for (const auto& [id, d] : c.daemons) {
         if (may_use_older_revision(d, revision, now)) {
@@ -488,7 +500,8 @@
     if (earlier_leases_expired(c, now)) {
         return found;
     }
-    // An earlier leader may have granted anyone a lease for anything that it has not confirmed to be past.
+    // An earlier leader may have granted any instance a lease of any revision older than the one it has
+    // confirmed.
     for (const auto& [id, record] : s.instances) {
         const auto d = c.daemons.find(id);
         const bool confirmed = d != c.daemons.end() && d->second.confirmed_revision >= revision;
--- a/src/core/lost_instances.cpp
+++ b/src/core/lost_instances.cpp
@@ -4,15 +4,17 @@
 namespace {
 
 constexpr std::size_t bits_per_byte = 8;
-// Of a lease: often enough that the look adds little to the lease that has to end first.
+// A loss is detected one check interval after the lease has expired at the latest. 20 checks per lease keep
+// this interval small beside the lease.
 constexpr int checks_per_lease = 20;
-constexpr int stall_divisor = 4; // a leader that has not looked for this part of a lease
-constexpr int grace_divisor = 2;       // of a lease, in which everyone renews more than once
+constexpr int stall_divisor = 4; // a leader without a check for lease / stall_divisor was stalled
+// Grace period is lease / grace_divisor; each instance renews several times in it.
+constexpr int grace_divisor = 2;
 
 } // namespace
 
 //-----------------------------------------------------------------------------
-// [control's side]
+// [control instance]
 //-----------------------------------------------------------------------------
 
 bool is_check_due(lost_tracker& l, duration lease, time_point now) {
@@ -59,7 +61,7 @@
 }
 
 //-----------------------------------------------------------------------------
-// [a daemon's side]
+// [daemon]
 //-----------------------------------------------------------------------------
 
 bool apply_lost_update(lost_instance_set& k, const lost_update& update, const cluster_state& s) {
--- a/src/core/lost_instances.hpp
+++ b/src/core/lost_instances.hpp
@@ -1,14 +1,14 @@
-// Which instances control has lost: those without a lease, told to all others.
+// Lost instances: instances without a lease. The leading control instance reports them to all others.
 //
-// An instance that is cut off cannot tell anyone so, and whoever asks it for a connection learns it by
-// waiting. The leading control instance knows after one lease. It tells the set with the answer to a renewal,
-// and only to those that hold another one: while nobody is lost, nothing at all is sent.
+// An instance that is cut off cannot report it, so a peer that requests a connection from it finds out only
+// by a timeout. The leading control instance detects the loss after one lease. It sends the set with a
+// renewal's reply, and only to daemons with another version: while no instance is lost, nothing is sent.
 //
-// On the wire the set is one bit an instance, in the order of their ids, so that a cut through the
-// middle of a large deployment costs each of the others a hundred bytes.
+// The set is encoded as one bit per instance, in the order of the ids, so that a partition through the middle
+// of a large deployment costs each other instance a hundred bytes.
 //
 // Index
-//   [messages]  [control's side]  [a daemon's side]
+//   [messages]  [control instance]  [daemon]
 #pragma once
 
 #include "core/cluster_state.hpp"
@@ -24,41 +24,42 @@
 // [messages]
 //-----------------------------------------------------------------------------
 
-// The set, for those who hold another one.
+// The complete set of lost instances, sent to daemons with another version.
 struct lost_update {
-    std::uint64_t version = 0;               // of this set; 0: nobody is lost, whoever leads
-    revision_number instances_revision = 0; // the bits stand for the instances of this revision
+    std::uint64_t version = 0;              // 0 = no instance is lost, under any leader
+    revision_number instances_revision = 0; // revision of the instances that the bits refer to
     std::string bits;                       // bit i % 8 of byte i / 8: instance i, by id
     auto operator<=>(const lost_update&) const = default;
 };
 
 //-----------------------------------------------------------------------------
-// [control's side]
+// [control instance]
 //-----------------------------------------------------------------------------
 
 struct lost_tracker {
     std::set<instance_id> instances;
-    bool is_known = false;     // this leader has looked
-    std::uint64_t change_count = 0; // of the set, under this leader
+    bool is_known = false;          // this leader has completed a check
+    std::uint64_t change_count = 0; // changes of the set under this leader
     time_point checked_at{};
-    time_point grace_until{}; // this leader itself stood still: silence says nothing yet
+    time_point grace_until{}; // no checks until then: this leader was stalled
 };
 
-// Time to look who is lost, for a leader that calls this with every tick. One that has not looked for as long
-// as a quarter of a lease stood still itself, and first gives everyone the time to renew.
+// Returns true if the lost instances are to be determined now. Called on every tick of the leader. A leader
+// that has not checked for a quarter of a lease was stalled itself and first gives all instances time to
+// renew.
 bool is_check_due(lost_tracker& l, duration lease, time_point now);
 
-// Takes what was seen. True where the set is another one now.
+// Replaces the set. Returns true if it changed.
 bool set_lost(lost_tracker& l, std::set<instance_id> lost);
 
-// The instance has just renewed. True where the set is another one now.
+// Removes an instance that has renewed its lease. Returns true if the set changed.
 bool remove_lost(lost_tracker& l, const instance_id& id);
 
 std::string encode_lost(const std::set<instance_id>& lost,
                         const std::map<instance_id, instance_record>& instances);
 
 //-----------------------------------------------------------------------------
-// [a daemon's side]
+// [daemon]
 //-----------------------------------------------------------------------------
 
 struct lost_instance_set {
@@ -66,8 +67,8 @@
     std::set<instance_id> instances;
 };
 
-// Nothing changes where the news are about other instances than those known here: they come again with the
-// next renewal, when this daemon's copy has caught up. True where they were taken.
+// Applies an update and returns true. Ignores it and returns false if it refers to another revision of the
+// instances; it is sent again with the next renewal, when this daemon's copy has caught up.
 bool apply_lost_update(lost_instance_set& k, const lost_update& update, const cluster_state& s);
 
 } // namespace larchpin
--- a/tests/control_test.cpp
+++ b/tests/control_test.cpp
@@ -1,8 +1,8 @@
-// What the leading control instance decides, one decision at a time and without I/O.
+// Decisions of the leading control instance, tested one at a time and without I/O.
 //
 // Index
-//   [a site]  [founding]  [edits]  [leaving]  [planned switches]  [starts]  [promotion]  [a new leader]
-//   [members]  [shares]
+//   [fixture]  [group creation]  [edits]  [leaving servers]  [planned switchovers]  [server restarts]
+//   [promotion]  [new leader]  [members]  [shares]
 #include "core/control_core.hpp"
 #include "daemon/watch_replies.hpp"
 #include "generated/larchpin.pb.h"
@@ -18,21 +18,22 @@
 using std::chrono::milliseconds;
 
 //-----------------------------------------------------------------------------
-// [a site]
+// [fixture]
 //-----------------------------------------------------------------------------
 
-// One group of three servers, one daemon a failure domain, a leader; commands apply as soon as proposed.
+// A leader, one group of three servers and one daemon per failure domain. Commands are applied when
+// proposed.
 struct control_site {
     control_state control;
     cluster_state cluster;
     time_point now{std::chrono::seconds{100}};
-    std::vector<control_action> pending_actions; // probes and promotions that nobody has answered
+    std::vector<control_action> pending_actions; // unanswered probes and promotions
     std::vector<std::string> events;
     std::map<instance_id, std::uint64_t> seqs;
 
     control_site() {
         start_leading(control, 3, now);
-        now += std::chrono::seconds{3}; // the leases of an earlier leader have run out
+        now += std::chrono::seconds{3}; // the leases of an earlier leader have expired
     }
 
     void execute(control_actions& actions) {
@@ -42,15 +43,15 @@
                 control_actions more;
                 on_applied(control, cluster, now, more);
                 execute(more);
-            } else if (const auto* note = std::get_if<report_event>(&a)) {
-                events.push_back(note->event);
+            } else if (const auto* report = std::get_if<report_event>(&a)) {
+                events.push_back(report->event);
             } else {
                 pending_actions.push_back(a);
             }
         }
     }
 
-    bool accepts_clients = true; // of whoever renews next
+    bool accepts_clients = true; // of the next daemon that renews
     std::uint64_t incarnation = 1;
     renewal_reply renew(const std::string& daemon, const std::vector<server_announcement>& announced = {},
                         const std::vector<server_observation>& seen = {},
@@ -85,11 +86,11 @@
         execute(actions);
     }
 
-    // The only open action of this kind, taken off the list.
+    // Removes and returns the first pending action of this kind.
     template <typename kind> std::optional<kind> take_pending() {
-        const auto found = std::find_if(pending_actions.begin(), pending_actions.end(), [](const control_action& a) {
-            return std::holds_alternative<kind>(a);
-        });
+        const auto found =
+            std::find_if(pending_actions.begin(), pending_actions.end(),
+                         [](const control_action& a) { return std::holds_alternative<kind>(a); });
         if (found == pending_actions.end()) {
             return std::nullopt;
         }
@@ -98,7 +99,8 @@
         return taken;
     }
 
-    // Answers every open probe as a healthy group would: the primary leads, all hold `position`.
+    // Answers every pending probe as a healthy group does: `primary` is the primary, all servers hold
+    // `position`.
     void answer_probes(const server_id& primary, log_position position) {
         while (const auto probe = take_pending<probe_server>()) {
             answer({.operation = probe->operation,
@@ -112,7 +114,7 @@
 
     group_record group() { return cluster.groups.at({"g"}); }
 
-    // As every daemon knows them.
+    // Returns the leaving servers according to the replicated records.
     std::vector<server_id> leaving() const {
         std::vector<server_id> found;
         for (const auto& [id, server] : cluster.servers) {
@@ -126,7 +128,7 @@
 
 server_announcement announce(const std::string& id, bool primary, std::uint64_t sequence) {
     server_announcement a;
-    const auto port = static_cast<std::uint16_t>(5400 + id.back()); // each at an address of its own
+    const auto port = static_cast<std::uint16_t>(5400 + id.back()); // a distinct address for each server
     a.record = {.id = {id}, .group = {"g"}, .host = "127.0.0.1", .port = port, .domain = {"d-x"}};
     a.is_primary = primary;
     a.sequence = sequence;
@@ -139,7 +141,7 @@
             {.server = {"s3"}, .alive = true}};
 }
 
-// A founded group with s1 as its primary.
+// Returns a site with a group whose primary is s1.
 control_site make_site() {
     control_site s;
     s.renew("x", {announce("s1", true, 1), announce("s2", false, 1), announce("s3", false, 1)}, all_alive());
@@ -148,17 +150,17 @@
 }
 
 //-----------------------------------------------------------------------------
-// [founding]
+// [group creation]
 //-----------------------------------------------------------------------------
 
-TEST(founding, a_primary_that_does_not_tell_its_timeline_is_asked_for_it) {
+TEST(group_creation, probes_primary_for_unknown_timeline) {
     control_site s;
     s.renew("x", {announce("s1", true, 1)});
     const auto probe = s.take_pending<probe_server>();
     ASSERT_TRUE(probe.has_value());
     EXPECT_FALSE(s.cluster.groups.contains({"g"}));
     s.renew("x", {announce("s1", true, 2)});
-    EXPECT_FALSE(s.take_pending<probe_server>().has_value()) << "one question at a time";
+    EXPECT_FALSE(s.take_pending<probe_server>().has_value()) << "one probe at a time";
     s.answer({.operation = probe->operation,
               .server = {"s1"},
               .answered = true,
@@ -169,7 +171,7 @@
     EXPECT_EQ(s.group().primary, server_id{"s1"});
 }
 
-TEST(founding, a_question_without_an_answer_is_asked_again) {
+TEST(group_creation, repeats_failed_probe) {
     control_site s;
     s.renew("x", {announce("s1", true, 1)});
     s.answer({.operation = s.take_pending<probe_server>()->operation, .server = {"s1"}});
@@ -191,19 +193,19 @@
     return e;
 }
 
-TEST(versioned_edits, the_highest_version_wins_whatever_the_order) {
+TEST(versioned_edits, highest_version_wins_in_any_order) {
     cluster_state s;
     EXPECT_EQ(apply(s, 1, make_versioned(7, 5)).code, result_code::ok);
-    EXPECT_EQ(apply(s, 2, make_versioned(3, 6)).code, result_code::ok) << "taken as done";
+    EXPECT_EQ(apply(s, 2, make_versioned(3, 6)).code, result_code::ok) << "accepted, but changes nothing";
     EXPECT_EQ(apply(s, 3, make_versioned(7, 8)).code, result_code::ok) << "other content, same version";
     EXPECT_EQ(s.current_table.services[0].max_connections, 5U);
     EXPECT_EQ(s.document, "document 7");
     EXPECT_EQ(apply(s, 4, make_versioned(9, 0)).code, result_code::table_invalid);
     EXPECT_EQ(s.table_version, 7U);
-    EXPECT_TRUE(s.recorded_changes.empty()) << "versions need no memory of ids";
+    EXPECT_TRUE(s.recorded_changes.empty()) << "versioned edits are not recorded by id";
 }
 
-// A control instance that founded a cluster alone.
+// A control instance that bootstrapped a cluster alone.
 struct single_control {
     std::mt19937_64 random{1};
     time_point now{std::chrono::seconds{1}};
@@ -232,8 +234,8 @@
     }
 };
 
-// A daemon that starts anew fetches the state over a small link; its history took 2 s (measured).
-TEST(watching, a_daemon_that_starts_anew_gets_the_state_and_not_its_history) {
+// A restarted daemon fetches the state over a slow link, where its history took 2 s.
+TEST(watching, restarted_daemon_gets_state_without_history) {
     single_control c;
     edit_table large = make_versioned(1, 5);
     for (int i = 0; i < 200; ++i) {
@@ -251,7 +253,7 @@
     whole_state_reply whole;
     const std::string anew = make_watch_reply(c.core, 0, whole);
     const std::string next = make_watch_reply(c.core, c.core.cluster.revision - 1, whole);
-    EXPECT_LT(anew.size(), next.size() + 1000) << "about one table";
+    EXPECT_LT(anew.size(), next.size() + 1000) << "about the size of one table";
     wire::watch_reply all;
     ASSERT_TRUE(all.ParseFromString(anew));
     EXPECT_EQ(from_wire(all.full()).current_table, c.core.cluster.current_table);
@@ -263,8 +265,8 @@
     EXPECT_EQ(last.entries(0).index(), c.core.cluster.revision);
 }
 
-// An entry needs the table, not the text that an operator reads back; it may be as large again.
-TEST(versioned_edits, daemons_get_the_table_without_the_document) {
+// Daemons need only the table. The operator's document may be as large again.
+TEST(versioned_edits, daemons_get_table_without_document) {
     single_control site;
     const control_core& c = site.core;
     site.edit(make_versioned(7, 5));
@@ -275,7 +277,7 @@
     EXPECT_EQ(c.recent_entries.back().index, c.cluster.revision);
 }
 
-TEST(versioned_edits, a_route_must_name_a_service_and_a_time) {
+TEST(versioned_edits, route_requires_service_and_statement_timeout) {
     table t;
     t.services = {{.id = {"g"}}};
     t.routes = {{.database = "db", .group = {"g"}, .service = {"g"}}};
@@ -287,37 +289,37 @@
     EXPECT_NE(check_table(t), "");
     t.routes[0].statement_timeout = std::chrono::seconds{1};
     t.routes.push_back(t.routes[0]);
-    EXPECT_NE(check_table(t), "") << "twice the same database";
+    EXPECT_NE(check_table(t), "") << "duplicate database";
 }
 
 //-----------------------------------------------------------------------------
-// [leaving]
+// [leaving servers]
 //-----------------------------------------------------------------------------
 
-TEST(leaving, a_primary_that_leaves_hands_over_to_another_server) {
+TEST(leaving_servers, leaving_primary_is_replaced) {
     control_site s = make_site();
-    server_announcement bye = announce("s1", true, 2);
-    bye.leaving = true;
-    s.renew("x", {bye}, all_alive());
+    server_announcement announcement = announce("s1", true, 2);
+    announcement.leaving = true;
+    s.renew("x", {announcement}, all_alive());
     EXPECT_EQ(s.leaving(), std::vector<server_id>{{"s1"}});
     s.tick();
-    EXPECT_EQ(s.group().phase, group_phase::serving) << "who could follow is asked first";
+    EXPECT_EQ(s.group().phase, group_phase::serving) << "possible successors are queried before the fence";
     s.answer_probes({"s1"}, 20);
     EXPECT_EQ(s.group().phase, group_phase::fencing);
     s.renew("x", {}, all_alive()); // confirms the fence
     s.tick();
     s.answer_probes({"s1"}, 20);
-    const auto order = s.take_pending<promote_server>();
-    ASSERT_TRUE(order.has_value());
-    EXPECT_NE(order->server.id, server_id{"s1"});
+    const auto promotion = s.take_pending<promote_server>();
+    ASSERT_TRUE(promotion.has_value());
+    EXPECT_NE(promotion->server.id, server_id{"s1"});
 }
 
 //-----------------------------------------------------------------------------
-// [planned switches]
+// [planned switchovers]
 //-----------------------------------------------------------------------------
 
-// s1 leaves, or an operator wants s2 in its place. The primary's log and the longest other one are set by
-// each test; time goes on in small steps, as the leader's ticks do.
+// A site where s1 leaves or an operator requests s2 as primary. Each test sets the log positions of the
+// primary and the replicas. Time advances in small steps, like the leader's ticks.
 struct switchover_site {
     control_site s = make_site();
     log_position primary_position = 100;
@@ -325,9 +327,9 @@
     bool primary_answers = true;
 
     void leave() {
-        server_announcement bye = announce("s1", true, 2);
-        bye.leaving = true;
-        s.renew("x", {bye}, all_alive());
+        server_announcement announcement = announce("s1", true, 2);
+        announcement.leaving = true;
+        s.renew("x", {announcement}, all_alive());
         s.tick();
     }
     void answer() {
@@ -357,12 +359,12 @@
     }
 };
 
-TEST(planned_switch, waits_until_a_successor_holds_all_that_the_fenced_primary_holds) {
+TEST(planned_switchover, waits_for_successor_to_reach_fenced_primary) {
     switchover_site p;
     p.replica_position = 99;
     p.leave();
     p.run_for(milliseconds{20});
-    EXPECT_TRUE(p.takes_writes()) << "nobody holds what the primary held when it was asked first";
+    EXPECT_TRUE(p.takes_writes()) << "no replica has reached the primary's first position";
     p.primary_position = 110;
     p.replica_position = 105;
     p.run_for(milliseconds{200});
@@ -370,13 +372,13 @@
     EXPECT_FALSE(p.next_promotion().has_value()) << "105 of 110";
     p.replica_position = 110;
     p.run_for(milliseconds{200});
-    const auto order = p.next_promotion();
-    ASSERT_TRUE(order.has_value());
-    EXPECT_NE(order->server.id, server_id{"s1"});
+    const auto promotion = p.next_promotion();
+    ASSERT_TRUE(promotion.has_value());
+    EXPECT_NE(promotion->server.id, server_id{"s1"});
 }
 
-// A replica that is seconds behind would keep the writes closed for seconds, over and over.
-TEST(planned_switch, closes_no_writes_for_replicas_that_are_far_behind) {
+// Fencing for a replica that is seconds behind would block writes for seconds, repeatedly.
+TEST(planned_switchover, sets_no_fence_while_replicas_lag_far_behind) {
     switchover_site p;
     p.replica_position = 10;
     p.leave();
@@ -389,15 +391,15 @@
         p.answer();
         ASSERT_TRUE(p.takes_writes());
     }
-    EXPECT_LE(asked, 60U) << "questions to three servers";
+    EXPECT_LE(asked, 60U) << "probes of three servers";
     EXPECT_GE(asked, 15U);
     p.replica_position = 100;
     p.run_for(milliseconds{4000});
-    EXPECT_FALSE(p.takes_writes()) << "one has caught up after all";
+    EXPECT_FALSE(p.takes_writes()) << "a replica has caught up";
 }
 
-// It was close when the fence was set, and then it stood still.
-TEST(planned_switch, lets_the_old_primary_go_on_when_nobody_catches_up) {
+// The replica was close when the fence was set, then stopped replicating.
+TEST(planned_switchover, keeps_old_primary_if_no_replica_catches_up) {
     switchover_site p;
     p.leave();
     p.answer();
@@ -408,23 +410,23 @@
     p.run_for(milliseconds{300});
     EXPECT_TRUE(p.takes_writes());
     EXPECT_EQ(p.s.group().primary, server_id{"s1"});
-    EXPECT_FALSE(p.next_promotion().has_value()) << "nobody else was promoted";
+    EXPECT_FALSE(p.next_promotion().has_value()) << "no other server is promoted";
 }
 
-TEST(planned_switch, loses_nothing_when_the_primary_does_not_answer_the_leader_but_lives) {
+TEST(planned_switchover, keeps_live_primary_that_does_not_answer_leader) {
     switchover_site p;
     p.leave();
     p.answer();
     ASSERT_FALSE(p.takes_writes());
     p.primary_answers = false;
     p.run_for(milliseconds{3200});
-    EXPECT_FALSE(p.next_promotion().has_value()) << "what it acknowledged last is not known";
+    EXPECT_FALSE(p.next_promotion().has_value()) << "the position of the last acknowledged write is unknown";
     EXPECT_TRUE(p.takes_writes());
     EXPECT_EQ(p.s.group().primary, server_id{"s1"});
     EXPECT_TRUE(p.has_event("switchover_given_up"));
 }
 
-TEST(planned_switch, is_a_failover_when_the_primary_dies_meanwhile) {
+TEST(planned_switchover, becomes_failover_if_primary_dies) {
     const std::vector<server_observation> dead{{.server = {"s1"}, .alive = false},
                                                {.server = {"s2"}, .alive = true},
                                                {.server = {"s3"}, .alive = true}};
@@ -437,14 +439,14 @@
         p.primary_position = 101;
         p.primary_answers = false;
         p.run_for(milliseconds{500}, dead);
-        const auto order = p.next_promotion();
-        ASSERT_TRUE(order.has_value());
-        EXPECT_NE(order->server.id, server_id{"s1"});
+        const auto promotion = p.next_promotion();
+        ASSERT_TRUE(promotion.has_value());
+        EXPECT_NE(promotion->server.id, server_id{"s1"});
     }
 }
 
-// The leader that set the fence is gone; the next one leaves the primary as carefully.
-TEST(planned_switch, goes_on_as_carefully_under_a_new_leader) {
+// The leader that set the fence is gone. Its successor must not lose acknowledged writes either.
+TEST(planned_switchover, loses_no_writes_under_new_leader) {
     switchover_site p;
     p.leave();
     p.answer();
@@ -459,10 +461,10 @@
     ASSERT_TRUE(p.next_promotion().has_value());
 }
 
-TEST(planned_switch, of_an_operator_is_given_up_without_a_fence_where_the_target_is_behind) {
+TEST(planned_switchover, operator_request_is_abandoned_without_fence_if_target_lags) {
     switchover_site p;
     p.replica_position = 10;
-    p.run_for(milliseconds{10}); // all are seen alive
+    p.run_for(milliseconds{10}); // all servers are observed alive
     control_actions actions;
     EXPECT_EQ(start_switchover(p.s.control, p.s.cluster, {"g"}, {"s2"}, p.s.now, actions), result_code::ok);
     p.s.execute(actions);
@@ -474,7 +476,7 @@
     EXPECT_TRUE(p.s.control.failovers.empty());
 }
 
-TEST(planned_switch, of_an_operator_goes_before_one_that_has_closed_nothing_yet) {
+TEST(planned_switchover, operator_request_replaces_unfenced_switchover) {
     switchover_site p;
     p.replica_position = 10;
     p.leave();
@@ -484,26 +486,27 @@
     p.s.execute(actions);
     p.replica_position = 100;
     p.run_for(milliseconds{500});
-    const auto order = p.next_promotion();
-    ASSERT_TRUE(order.has_value());
-    EXPECT_EQ(order->server.id, server_id{"s3"});
+    const auto promotion = p.next_promotion();
+    ASSERT_TRUE(promotion.has_value());
+    EXPECT_EQ(promotion->server.id, server_id{"s3"});
 }
 
 //-----------------------------------------------------------------------------
-// [leaving], more of it
+// [leaving servers], continued
 //-----------------------------------------------------------------------------
 
-TEST(leaving, an_announcement_that_was_overtaken_changes_nothing) {
+TEST(leaving_servers, out_of_order_announcement_is_ignored) {
     control_site s = make_site();
-    server_announcement bye = announce("s2", false, 5);
-    bye.leaving = true;
-    s.renew("x", {bye});
+    server_announcement announcement = announce("s2", false, 5);
+    announcement.leaving = true;
+    s.renew("x", {announcement});
     s.renew("x", {announce("s2", false, 4)});
     EXPECT_EQ(s.leaving(), std::vector<server_id>{{"s2"}});
 }
 
-// Held up by a cut, it arrives after its sender has crashed and another server has come up at its address.
-TEST(leaving, a_late_announcement_of_a_replaced_server_changes_nothing) {
+// The announcement was delayed by a partition until its sender had crashed and another server used its
+// address.
+TEST(leaving_servers, delayed_announcement_of_replaced_server_is_ignored) {
     control_site s = make_site();
     server_announcement next = announce("n2", false, 1);
     next.record.port = announce("s2", false, 1).record.port;
@@ -523,20 +526,20 @@
         s.renew("x", {announce("s1", true, i), announce("s3", false, i), next, late}, seen);
         s.tick();
     }
-    EXPECT_FALSE(s.cluster.servers.contains({"s2"})) << "however many of them come";
+    EXPECT_FALSE(s.cluster.servers.contains({"s2"})) << "repeated delayed announcements are ignored";
     EXPECT_TRUE(s.cluster.servers.contains({"n2"}));
     EXPECT_EQ(s.group().primary, server_id{"s1"});
 }
 
-// A new leader has not heard who came up last at an address: a late announcement may look like the
-// newcomer's.
-TEST(leaving, a_server_that_was_taken_for_replaced_is_heard_again_once_the_other_is_silent) {
+// A new leader does not know which server announced itself last at an address, so a delayed announcement may
+// look newer than the current server's.
+TEST(leaving_servers, wrongly_replaced_server_is_accepted_once_other_is_silent) {
     control_site s = make_site();
     start_leading(s.control, 2, s.now);
     server_announcement living = announce("n2", false, 7);
     living.record.port = announce("x2", false, 1).record.port;
     s.renew("x", {living});
-    s.renew("x", {announce("x2", false, 50)}); // of a server that nobody remembers
+    s.renew("x", {announce("x2", false, 50)}); // from a server without a record
     for (std::uint64_t i = 8; i < 18; ++i) {
         s.now += milliseconds{500};
         living.sequence = i;
@@ -548,13 +551,13 @@
     EXPECT_EQ(s.leaving(), std::vector<server_id>{{"n2"}});
 }
 
-// An acknowledgement rests on it, so neither silence nor a change of leader may end it.
-TEST(leaving, a_server_that_leaves_is_not_chosen_after_silence_or_by_a_new_leader) {
+// Servers acknowledge that they leave, so neither silence nor a change of leader may reset `leaving`.
+TEST(leaving_servers, leaving_server_is_not_promoted_after_silence_or_by_new_leader) {
     for (const bool new_leader : {false, true}) {
         control_site s = make_site();
-        server_announcement bye = announce("s2", false, 2);
-        bye.leaving = true;
-        s.renew("x", {bye}, all_alive());
+        server_announcement announcement = announce("s2", false, 2);
+        announcement.leaving = true;
+        s.renew("x", {announcement}, all_alive());
         s.now += std::chrono::seconds{4};
         if (new_leader) {
             start_leading(s.control, 4, s.now);
@@ -568,18 +571,18 @@
         s.renew("x", {}, seen); // confirms the fence
         s.tick();
         s.answer_probes({"s1"}, 20);
-        const auto order = s.take_pending<promote_server>();
-        ASSERT_TRUE(order.has_value());
-        EXPECT_EQ(order->server.id, server_id{"s3"}) << "new leader: " << new_leader;
+        const auto promotion = s.take_pending<promote_server>();
+        ASSERT_TRUE(promotion.has_value());
+        EXPECT_EQ(promotion->server.id, server_id{"s3"}) << "new leader: " << new_leader;
     }
 }
 
-// Nobody could follow anyone otherwise, and the group would stay without a primary for good.
-TEST(leaving, a_server_that_leaves_is_chosen_where_nobody_else_holds_the_log) {
+// Otherwise the replicas could follow no server, and the group would stay without a primary.
+TEST(leaving_servers, leaving_primary_continues_if_no_other_server_holds_log) {
     control_site s = make_site();
-    server_announcement bye = announce("s1", true, 2);
-    bye.leaving = true;
-    s.renew("x", {bye}, all_alive());
+    server_announcement announcement = announce("s1", true, 2);
+    announcement.leaving = true;
+    s.renew("x", {announcement}, all_alive());
     s.tick();
     const auto answer_all = [&s] {
         while (const auto probe = s.take_pending<probe_server>()) {
@@ -598,18 +601,19 @@
         s.renew("x", {}, all_alive());
         s.tick();
         answer_all();
-        EXPECT_EQ(s.group().phase, group_phase::serving) << "it goes on while the others may catch up";
+        EXPECT_EQ(s.group().phase, group_phase::serving)
+            << "the primary continues while the replicas may catch up";
     }
     EXPECT_EQ(s.group().primary, server_id{"s1"});
     EXPECT_FALSE(s.take_pending<promote_server>().has_value());
 }
 
-// The same after a fence that an earlier leader has set.
-TEST(leaving, a_server_that_leaves_is_chosen_behind_a_fence_where_nobody_else_holds_the_log) {
+// The same case, but the fence was set by an earlier leader.
+TEST(leaving_servers, fenced_leaving_primary_continues_if_no_other_server_holds_log) {
     control_site s = make_site();
-    server_announcement bye = announce("s1", true, 2);
-    bye.leaving = true;
-    s.renew("x", {bye}, all_alive());
+    server_announcement announcement = announce("s1", true, 2);
+    announcement.leaving = true;
+    s.renew("x", {announcement}, all_alive());
     group_record fenced = s.group();
     fenced.phase = group_phase::fencing;
     apply(s.cluster, s.cluster.revision + 1,
@@ -634,23 +638,23 @@
     EXPECT_GE(s.group().term, 2U);
 }
 
-TEST(leaving, a_server_that_is_gone_loses_its_record_but_not_while_it_is_the_primary) {
+TEST(leaving_servers, stopped_server_is_removed_unless_primary) {
     control_site s = make_site();
-    server_announcement gone = announce("s2", false, 9);
-    gone.stopped = true;
-    s.renew("x", {gone});
+    server_announcement stopped = announce("s2", false, 9);
+    stopped.stopped = true;
+    s.renew("x", {stopped});
     s.tick();
     EXPECT_FALSE(s.cluster.servers.contains({"s2"}));
     s.renew("x", {announce("s2", false, 8)});
-    EXPECT_FALSE(s.cluster.servers.contains({"s2"})) << "a late announcement brings nobody back";
-    server_announcement primary_gone = announce("s1", true, 9);
-    primary_gone.stopped = true;
-    s.renew("x", {primary_gone});
+    EXPECT_FALSE(s.cluster.servers.contains({"s2"})) << "a delayed announcement restores no record";
+    server_announcement primary_stopped = announce("s1", true, 9);
+    primary_stopped.stopped = true;
+    s.renew("x", {primary_stopped});
     s.tick();
     EXPECT_TRUE(s.cluster.servers.contains({"s1"}));
 }
 
-TEST(leaving, a_server_that_is_lost_for_good_is_forgotten_and_comes_back_by_announcing_itself) {
+TEST(leaving_servers, lost_server_is_removed_and_returns_by_announcement) {
     control_site s = make_site();
     const std::vector<server_observation> seen{{.server = {"s1"}, .alive = true},
                                                {.server = {"s2"}, .alive = false}};
@@ -665,7 +669,7 @@
     EXPECT_TRUE(s.cluster.servers.contains({"s2"}));
 }
 
-TEST(leaving, nobody_is_forgotten_while_no_announcement_comes_from_anyone) {
+TEST(leaving_servers, no_server_is_removed_without_any_announcement) {
     control_site s = make_site();
     for (int i = 0; i < 40; ++i) {
         s.now += milliseconds{500};
@@ -676,7 +680,7 @@
 }
 
 //-----------------------------------------------------------------------------
-// [starts]
+// [server restarts]
 //-----------------------------------------------------------------------------
 
 server_announcement announce_start(const std::string& id, bool primary, std::uint64_t started,
@@ -686,7 +690,8 @@
     return a;
 }
 
-// A founded group whose servers tell when they started; s1 is the primary, all were heard 40 times.
+// Returns a site whose servers announce their start times; s1 is the primary, all have announced themselves
+// 40 times.
 control_site make_site_with_starts() {
     control_site s;
     s.renew("x",
@@ -697,26 +702,27 @@
     return s;
 }
 
-// Its count starts anew, so it counted as overtaken until the count had caught up, or as gone for good.
-TEST(starts, a_server_that_starts_again_under_its_id_is_heard_at_once_and_nothing_of_before_holds) {
-    for (const bool gone : {false, true}) {
+// A restarted server counts its announcements from 1, so they were ignored until the count had caught up, or
+// the server stayed marked as stopped.
+TEST(server_restarts, restart_under_same_id_replaces_record_immediately) {
+    for (const bool stopped : {false, true}) {
         control_site s = make_site_with_starts();
-        server_announcement bye = announce_start("s2", false, 1'000, 41);
-        (gone ? bye.stopped : bye.leaving) = true;
-        s.renew("x", {bye}, all_alive());
+        server_announcement announcement = announce_start("s2", false, 1'000, 41);
+        (stopped ? announcement.stopped : announcement.leaving) = true;
+        s.renew("x", {announcement}, all_alive());
         s.tick();
         server_announcement again = announce_start("s2", false, 2'000, 1);
         again.record.port = 6000;
         s.renew("x", {again}, all_alive());
-        ASSERT_TRUE(s.cluster.servers.contains({"s2"})) << "gone: " << gone;
+        ASSERT_TRUE(s.cluster.servers.contains({"s2"})) << "stopped: " << stopped;
         const server_record record = s.cluster.servers.at({"s2"});
-        EXPECT_EQ(record.port, 6000) << "gone: " << gone;
+        EXPECT_EQ(record.port, 6000) << "stopped: " << stopped;
         EXPECT_EQ(record.start_time_ms, 2'000U);
         EXPECT_FALSE(record.leaving);
     }
 }
 
-TEST(starts, an_earlier_start_changes_nothing_however_far_it_had_counted) {
+TEST(server_restarts, earlier_start_is_ignored_despite_higher_sequence) {
     control_site s = make_site_with_starts();
     s.renew("x", {announce_start("s2", false, 2'000, 1)}, all_alive());
     const server_record before = s.cluster.servers.at({"s2"});
@@ -737,8 +743,9 @@
     EXPECT_EQ(s.group().primary, server_id{"s1"});
 }
 
-// It holds nothing, whatever it says of itself; where another server holds the log, that one goes on.
-TEST(starts, a_primary_that_starts_again_before_it_was_missed_is_no_primary_until_it_is_promoted) {
+// The restarted primary holds no data, although it announces itself as primary. A server that holds the log
+// takes over.
+TEST(server_restarts, restarted_primary_must_be_promoted_again) {
     control_site s = make_site_with_starts();
     s.renew("x", {}, {{.server = {"s1"}, .alive = true, .is_primary = true, .timeline = 1, .position = 20}});
     s.renew("x", {announce_start("s1", true, 2'000, 1)}, all_alive());
@@ -755,13 +762,13 @@
                   .timeline = 1,
                   .position = restarted ? 0U : 20U});
     }
-    const auto order = s.take_pending<promote_server>();
-    ASSERT_TRUE(order.has_value());
-    EXPECT_NE(order->server.id, server_id{"s1"});
+    const auto promotion = s.take_pending<promote_server>();
+    ASSERT_TRUE(promotion.has_value());
+    EXPECT_NE(promotion->server.id, server_id{"s1"});
 }
 
-// The leader that registered the new start may be gone before it has fenced the group.
-TEST(starts, a_new_leader_sees_that_the_primary_has_started_again) {
+// The leader that registered the restart may fail before it fences the group.
+TEST(server_restarts, new_leader_detects_restarted_primary) {
     control_site s = make_site_with_starts();
     server_record again = s.cluster.servers.at({"s1"});
     again.start_time_ms = 2'000;
@@ -774,8 +781,8 @@
     EXPECT_EQ(s.group().phase, group_phase::fencing);
 }
 
-// All servers of the group have come back empty: nobody holds the newest timeline any more, and nobody will.
-TEST(starts, a_group_whose_servers_all_lost_their_logs_gets_a_primary_again) {
+// All servers of the group restarted without data, so no server will ever hold the newest timeline again.
+TEST(server_restarts, group_recovers_after_all_servers_lost_their_logs) {
     for (const bool one_is_silent : {true, false}) {
         control_site s = make_site_with_starts();
         s.control.config.always_promote = true;
@@ -798,10 +805,10 @@
     }
 }
 
-// The server's clock was set back while it was down, or two starts fell into one millisecond, or it tells no
-// start at all: its word looks late. But late words end, and this one goes on while the other start is
-// silent.
-TEST(starts, one_that_looks_earlier_is_believed_when_it_goes_on_and_the_later_one_is_silent) {
+// A restart looks outdated if the clock was set back while the server was down, if two starts fell into one
+// millisecond or if the server reports no start time. Delayed announcements cease, but these continue while
+// the other start is silent.
+TEST(server_restarts, outdated_looking_start_is_accepted_once_other_is_silent) {
     for (const std::uint64_t started : {500U, 1'000U, 0U}) {
         control_site s = make_site_with_starts();
         const std::uint64_t first_number = s.cluster.servers.at({"s2"}).start_number;
@@ -818,8 +825,8 @@
     }
 }
 
-// Within one start a server keeps its group: another group is another writer's word.
-TEST(starts, a_server_does_not_change_its_group) {
+// A server keeps its group within one start. An announcement with another group comes from another process.
+TEST(server_restarts, server_keeps_its_group) {
     control_site s = make_site_with_starts();
     server_announcement other = announce_start("s2", true, 1'000, 41);
     other.record.group = {"other"};
@@ -832,7 +839,7 @@
 // [promotion]
 //-----------------------------------------------------------------------------
 
-// Drives a failover of the dead s1 up to the order to promote.
+// Drives a failover of the dead s1 up to the promotion.
 promote_server fail_over(control_site& s) {
     const std::vector<server_observation> seen{{.server = {"s1"}, .alive = false},
                                                {.server = {"s2"}, .alive = true},
@@ -842,12 +849,12 @@
     s.renew("x", {}, seen);
     s.tick();
     s.answer_probes({"s1"}, 20);
-    const auto order = s.take_pending<promote_server>();
-    EXPECT_TRUE(order.has_value());
-    return order.value_or(promote_server{});
+    const auto promotion = s.take_pending<promote_server>();
+    EXPECT_TRUE(promotion.has_value());
+    return promotion.value_or(promote_server{});
 }
 
-TEST(promotion, each_order_has_a_token_above_all_earlier_ones) {
+TEST(promotion, fencing_token_increases_with_each_attempt) {
     control_site s = make_site();
     const promote_server first = fail_over(s);
     s.answer({.operation = first.operation, .server = first.server.id});
@@ -858,36 +865,37 @@
     EXPECT_GT(second->token, first.token);
     control_state later;
     start_leading(later, 4, s.now);
-    EXPECT_GT(make_monotonic_number(later, 0), second->token) << "of the next leader";
+    EXPECT_GT(make_monotonic_number(later, 0), second->token) << "tokens of the next leader are higher";
 }
 
-TEST(promotion, an_order_without_an_answer_is_given_again_to_the_same_server) {
+TEST(promotion, unanswered_promotion_is_repeated_on_same_server) {
     control_site s = make_site();
     s.control.config.always_promote = true;
     const promote_server first = fail_over(s);
     s.answer({.operation = first.operation, .server = first.server.id, .outcome_unknown = true});
     const auto second = s.take_pending<promote_server>();
-    ASSERT_TRUE(second.has_value()) << "at once, without asking everyone again";
+    ASSERT_TRUE(second.has_value()) << "repeated immediately, without probing all servers again";
     EXPECT_EQ(second->server.id, first.server.id);
     EXPECT_GT(second->token, first.token);
 }
 
 //-----------------------------------------------------------------------------
-// [a new leader]
+// [new leader]
 //-----------------------------------------------------------------------------
 
-TEST(a_new_leader, goes_on_once_everyone_has_confirmed_and_not_before) {
+TEST(new_leader, waits_until_all_daemons_have_confirmed) {
     control_site s = make_site();
     s.renew("y");
-    start_leading(s.control, 4, s.now); // another one, at once
+    start_leading(s.control, 4, s.now); // another leader, immediately
     s.seqs.clear();
     const revision_number fence = s.cluster.revision;
     s.renew("x");
     EXPECT_FALSE(is_in_force(s.control, s.cluster, fence, s.now))
         << "y may hold a lease of the earlier leader";
     s.renew("y");
-    EXPECT_TRUE(is_in_force(s.control, s.cluster, fence, s.now)) << "no need to wait for any lease";
-    EXPECT_FALSE(is_in_force(s.control, s.cluster, fence + 1, s.now)) << "nobody has confirmed that";
+    EXPECT_TRUE(is_in_force(s.control, s.cluster, fence, s.now)) << "no need to wait for a lease to expire";
+    EXPECT_FALSE(is_in_force(s.control, s.cluster, fence + 1, s.now))
+        << "no daemon has confirmed this revision";
     s.now += std::chrono::seconds{3};
     EXPECT_TRUE(is_in_force(s.control, s.cluster, fence, s.now));
 }
@@ -896,7 +904,7 @@
 // [members]
 //-----------------------------------------------------------------------------
 
-// A leader, and instances that stand with it in the log, all heard of just now.
+// A leader and the instances in its log, all heard from just now.
 struct member_site {
     std::mt19937_64 random{1};
     time_point now{std::chrono::seconds{100}};
@@ -915,7 +923,7 @@
         }
     }
     void silence(raft::node_id id, duration time) { core.consensus.peers[id].acked_round_sent_at = now - time; }
-    // Lets the leader change its members once, as if the change were committed at once.
+    // Lets the leader change its members once, and commits the change immediately.
     void run() {
         tick(core, now, random);
         core.consensus.commit = raft::last_index(core.consensus);
@@ -940,21 +948,21 @@
     return s;
 }
 
-TEST(members, a_replaced_instance_that_is_one_too_many_loses_its_vote) {
+TEST(members, surplus_silent_voter_is_removed) {
     member_site s = make_members(0);
     for (raft::node_id id = 1; id <= 4; ++id) {
         s.add(id, "d" + std::to_string(id), true);
     }
     s.silence(4, std::chrono::seconds{10});
     s.run();
-    EXPECT_TRUE(s.votes(4)) << "unless a number of voters is wanted, votes are kept";
+    EXPECT_TRUE(s.votes(4)) << "voters are kept if no number of voters is set";
     s.core.target_voters = 3;
     s.run();
     EXPECT_FALSE(s.knows(4));
     EXPECT_EQ(s.core.consensus.members.members.size(), 3U);
 }
 
-TEST(members, learners_stand_by_while_enough_voters_live) {
+TEST(members, learner_is_promoted_only_if_voter_is_silent) {
     member_site s = make_members(voters_for_tolerated_losses(1));
     s.add(1, "a", true);
     s.add(2, "b", true);
@@ -965,12 +973,12 @@
     s.silence(3, std::chrono::seconds{2});
     s.run();
     EXPECT_TRUE(s.votes(4));
-    EXPECT_TRUE(s.votes(3)) << "the silent one goes after, not before";
+    EXPECT_TRUE(s.votes(3)) << "the silent voter is removed after the promotion, not before";
     s.run();
     EXPECT_FALSE(s.knows(3));
 }
 
-TEST(members, a_learner_of_the_failure_domain_with_the_fewest_voters_comes_first) {
+TEST(members, learner_in_failure_domain_with_fewest_voters_is_promoted_first) {
     member_site s = make_members(voters_for_tolerated_losses(2));
     s.add(1, "a", true);
     s.add(2, "a", true);
@@ -983,29 +991,29 @@
     EXPECT_TRUE(s.votes(6));
 }
 
-TEST(members, no_change_is_taken_before_there_are_enough_voters) {
+TEST(members, changes_require_enough_voters) {
     member_site s = make_members(voters_for_tolerated_losses(2));
     s.add(1, "a", true);
     s.add(2, "b", true);
     s.add(3, "c", true);
-    EXPECT_FALSE(has_enough_voters(s.core)) << "two lost disks could take it away";
+    EXPECT_FALSE(has_enough_voters(s.core)) << "losing two disks could lose the change";
     s.add(4, "a", true);
     s.add(5, "b", true);
     EXPECT_TRUE(has_enough_voters(s.core));
 }
 
-TEST(members, an_instance_that_hears_no_leader_asks_to_join_again) {
+TEST(members, instance_without_leader_requests_to_join_again) {
     member_site s = make_members(voters_for_tolerated_losses(1));
     s.add(1, "a", true);
     s.add(2, "b", true);
-    EXPECT_FALSE(should_join(s.core, s.now)) << "it leads";
+    EXPECT_FALSE(should_join(s.core, s.now)) << "the instance is the leader";
     s.core.consensus.current_role = raft::role::follower;
     s.core.consensus.last_leader_contact = s.now;
     EXPECT_FALSE(should_join(s.core, s.now + std::chrono::seconds{1}));
     EXPECT_TRUE(should_join(s.core, s.now + std::chrono::seconds{10}));
 }
 
-TEST(members, a_learner_that_is_gone_is_forgotten) {
+TEST(members, silent_learner_is_removed) {
     member_site s = make_members(voters_for_tolerated_losses(1));
     s.add(1, "a", true);
     s.add(2, "b", true);
@@ -1020,9 +1028,8 @@
 // [shares]
 //-----------------------------------------------------------------------------
 
-// A daemon that is cut off goes on reading over its connections for a moment, and the server has to bear
-// them.
-TEST(shares_of_connections, of_a_lost_daemon_are_given_to_others_only_after_a_while) {
+// A daemon that is cut off continues to read over its connections for a while, which the server must bear.
+TEST(connection_shares, lost_daemons_share_is_regranted_after_grace_period) {
     control_site s = make_site();
     apply(s.cluster, s.cluster.revision + 1, make_versioned(1, 10));
     const share_claim few{.key = {.service = {"g"}, .server = {"s1"}}, .in_effect = 8, .wanted = 8};
@@ -1030,15 +1037,15 @@
     s.renew("x");
     s.renew("y");
     s.renew("x", {}, {}, {few});
-    s.now += s.control.config.lease * 11 / 10; // x is not heard of any more
+    s.now += s.control.config.lease * 11 / 10; // x no longer renews
     EXPECT_LE(s.renew("y", {}, {}, {many}).shares.at(0).connections, 2U);
     s.now += s.control.config.share_grace;
-    EXPECT_EQ(s.renew("y", {}, {}, {many}).shares.at(0).connections, 9U) << "x keeps its reserve for good";
+    EXPECT_EQ(s.renew("y", {}, {}, {many}).shares.at(0).connections, 9U) << "x keeps its reserved connection";
 }
 
-// All processes end at once, and one control instance is gone for good: it held no connections, so its lease
-// need not be waited out before the others get theirs.
-TEST(shares_of_connections, of_a_new_leader_wait_for_those_only_that_may_hold_some) {
+// All processes end at once, and one control instance never returns. It held no connections, so the other
+// daemons need not wait for its lease to expire.
+TEST(connection_shares, new_leader_waits_only_for_possible_holders) {
     control_site s = make_site();
     apply(s.cluster, s.cluster.revision + 1, make_versioned(1, 10));
     const share_claim claim{.key = {.service = {"g"}, .server = {"s1"}}, .in_effect = 0, .wanted = 4};
@@ -1051,18 +1058,19 @@
     start_leading(s.control, 2, s.now);
     s.accepts_clients = true;
     s.seqs.clear();
-    EXPECT_EQ(s.renew("x", {}, {}, {claim}).shares.at(0).connections, 0U) << "y may hold some";
+    EXPECT_EQ(s.renew("x", {}, {}, {claim}).shares.at(0).connections, 0U) << "y may hold connections";
     s.renew("y");
     EXPECT_EQ(s.renew("x", {}, {}, {claim}).shares.at(0).connections, 0U)
-        << "y may have sent that before it got some by an earlier leader's last word";
+        << "y may have sent this renewal before an earlier leader's last grant arrived";
     s.renew("y");
     EXPECT_EQ(s.renew("x", {}, {}, {claim}).shares.at(0).connections, 4U);
     s.accepts_clients = false;
-    EXPECT_EQ(s.renew("control", {}, {}, {claim}).shares.at(0).connections, 0U) << "it is not counted";
+    EXPECT_EQ(s.renew("control", {}, {}, {claim}).shares.at(0).connections, 0U)
+        << "an instance without clients gets no share";
 }
 
-// Over a link that lost packets, or to an instance that was frozen, it arrives after a later one.
-TEST(shares_of_connections, are_not_given_away_by_a_renewal_that_was_overtaken) {
+// A renewal may arrive after a later one if the link lost packets or the instance was frozen.
+TEST(connection_shares, out_of_order_renewal_releases_no_share) {
     control_site s = make_site();
     apply(s.cluster, s.cluster.revision + 1, make_versioned(1, 10));
     const share_claim wants{.key = {.service = {"g"}, .server = {"s1"}}, .in_effect = 0, .wanted = 9};
@@ -1076,15 +1084,16 @@
     s.renew("x", {}, {}, {has});
     const std::uint64_t newest = s.seqs[{"x"}];
     s.seqs[{"x"}] = before;
-    EXPECT_TRUE(s.renew("x", {}, {}, {wants}).shares.empty()) << "sent before it held anything";
+    EXPECT_TRUE(s.renew("x", {}, {}, {wants}).shares.empty())
+        << "the renewal was sent before x held connections";
     s.seqs[{"x"}] = newest;
     EXPECT_LE(s.renew("y", {}, {}, {wants}).shares.at(0).connections, 10 - held);
 }
 
-// The next leader knows by the log alone who may hold a lease.
-TEST(a_new_leader, finds_every_holder_of_a_lease_in_the_log) {
+// The next leader learns only from the log which daemons may hold a lease.
+TEST(new_leader, finds_every_lease_holder_in_log) {
     control_site s;
-    s.control.leading_since = s.now; // a commit takes time, and leaders change meanwhile
+    s.control.leading_since = s.now; // a commit takes time, and the leader may change meanwhile
     renewal first;
     first.instance = {.id = {"x"}, .domain = {"d"}, .address = "127.0.0.1:1", .accepts_clients = true};
     first.incarnation = 1;
@@ -1094,22 +1103,22 @@
     EXPECT_GT(s.renew("x").lease, duration{0});
 }
 
-// An instance that started again after its time of day had been set back got no lease, and served nothing,
-// until control changed its leader.
-TEST(leases, of_an_instance_whose_clock_went_back_are_given_once_its_earlier_life_is_over) {
+// After the time of day was set back, a restarted instance got no lease and served nothing until control
+// changed its leader.
+TEST(leases, instance_with_clock_set_back_gets_lease_after_earlier_one_expires) {
     control_site s = make_site();
     s.incarnation = 5;
     EXPECT_GT(s.renew("x").lease, duration{0});
     s.incarnation = 4;
     s.seqs.clear();
-    EXPECT_EQ(s.renew("x").code, result_code::bad_message) << "the other life may hold a lease";
+    EXPECT_EQ(s.renew("x").code, result_code::bad_message) << "the earlier process may hold a lease";
     s.now += std::chrono::seconds{2};
     const renewal_reply reply = s.renew("x");
     EXPECT_EQ(reply.code, result_code::ok);
     EXPECT_GT(reply.lease, duration{0});
 }
 
-TEST(shares_of_connections, leave_room_for_probes) {
+TEST(connection_shares, reserve_connections_for_probes) {
     control_site s = make_site();
     s.control.config.kept_connections = 4;
     control_actions actions;
@@ -1121,9 +1130,8 @@
     EXPECT_EQ(reply.shares[0].connections, 19U);
 }
 
-// What a daemon was granted and has not confirmed yet counts, also where it does not claim the share any
-// more.
-TEST(shares_of_connections, count_until_their_holder_is_known_to_hold_nothing) {
+// A share that was granted but not yet confirmed counts, even if the daemon no longer claims it.
+TEST(connection_shares, granted_share_counts_until_confirmed_released) {
     control_site s = make_site();
     apply(s.cluster, s.cluster.revision + 1, make_versioned(1, 10));
     const share_claim all{.key = {.service = {"g"}, .server = {"s1"}}, .in_effect = 0, .wanted = 10};
@@ -1135,16 +1143,16 @@
     ASSERT_GT(granted.shares[0].connections, 5U);
     const auto left = [&] { return s.renew("y", {}, {}, {all}).shares.at(0).connections; };
     EXPECT_LE(left(), 10 - granted.shares[0].connections);
-    s.seqs[{"x"}] = confirmed; // the grant is still on its way to it
+    s.seqs[{"x"}] = confirmed; // the daemon has not received the grant yet
     const std::uint64_t sent = granted.seq;
     s.renew("x");
-    EXPECT_LE(left(), 10 - granted.shares[0].connections) << "it claims nothing, but may act on the grant";
+    EXPECT_LE(left(), 10 - granted.shares[0].connections) << "x claims nothing, but may act on the grant";
     s.seqs[{"x"}] = sent;
     s.renew("x");
     EXPECT_GE(left(), 8U);
 }
 
-TEST(shares_of_connections, are_divided_by_wishes_and_counted_by_holdings) {
+TEST(connection_shares, are_divided_by_demand_and_counted_by_holdings) {
     share_ledger l;
     const share_key key{.service = {"g"}, .server = {"s1"}};
     const time_point now{std::chrono::seconds{100}};
@@ -1157,9 +1165,10 @@
     note_holder(l, key, b, 4, 2);
     note_holder(l, key, gone, 5, 5);
     const share_decision expected{.target = 6, .held_by_others = 4};
-    EXPECT_EQ(decide_share(l, key, a, 6, 8, now), expected) << "the one whose time is over does not count";
+    EXPECT_EQ(decide_share(l, key, a, 6, 8, now), expected)
+        << "a daemon with an expired lease does not count";
     set_reserves(l, key, {{"gone"}}, 1);
-    EXPECT_EQ(decide_share(l, key, a, 6, 8, now).held_by_others, 5U) << "but for its reserve";
+    EXPECT_EQ(decide_share(l, key, a, 6, 8, now).held_by_others, 5U) << "except for its reserved connection";
     remove_holder(l, b);
     EXPECT_EQ(decide_share(l, key, a, 6, 8, now).held_by_others, 1U);
 }
