--- a/src/core/failover.cpp
+++ b/src/core/failover.cpp
@@ -15,7 +15,7 @@
 //-----------------------------------------------------------------------------
 
 void add_event(control_actions& actions, const failover& f, const std::string& what, const group_id& group,
-          const server_id& server, time_point now) {
+               const server_id& server, time_point now) {
     actions.emplace_back(report_event{.event = what,
                                     .group = group,
                                     .server = server,
@@ -28,9 +28,9 @@
     f.step_started_at = now;
 }
 
-// Prefers the longest log; among equals the operator's wish, then weight, then the name.
+// Prefers the longest log, then the operator's target, then the higher weight, then the server id.
 bool is_better_candidate(const cluster_state& s, const failover& f, const server_answer& a,
-                      const server_answer& b) {
+                         const server_answer& b) {
     if (a.timeline != b.timeline) {
         return a.timeline > b.timeline;
     }
@@ -47,9 +47,9 @@
     return a_weight != b_weight ? a_weight > b_weight : a.server < b.server;
 }
 
-// The primary's process is gone with what it held, and every server of the group has answered: none holds the
-// newest timeline, and none will. Then the longest log there is goes on, under an authority that counts
-// terms.
+// Returns true if the primary's process has restarted and lost its log, and every server of the group has
+// answered with an older timeline, so that the newest timeline cannot be recovered. The longest remaining log
+// is then eligible, if promotions go through an authority that fences by token (always_promote).
 bool is_timeline_lost(const control_state& c, const cluster_state& s, const group_record& group,
                       const failover& f) {
     const auto servers = servers_of(s, group.id);
@@ -62,21 +62,21 @@
 }
 
 bool is_eligible(const control_state& c, const cluster_state& s, const group_record& group, const failover& f,
-              const server_answer& answer) {
+                 const server_answer& answer) {
     if (!answer.answered) {
         return false;
     }
     if (answer.timeline < group.timeline) {
         return is_timeline_lost(c, s, group, f);
     }
-    // It started again and has lost a part of its log. As long as another server may hold that, waiting is
-    // better than going on without it; one that is lost for good loses its record.
+    // A restarted primary may have lost a part of its log. It is not eligible while another server may hold
+    // that part; the record of a server that is permanently lost is removed from the group.
     const bool lost_log = answer.server == group.primary && answer.position < f.position_before_restart;
     return !lost_log || servers_of(s, group.id).size() <= 1;
 }
 
-const server_answer* find_longest_log(const control_state& c, const cluster_state& s, const group_record& group,
-                                 const failover& f, bool among_leaving) {
+const server_answer* find_longest_log(const control_state& c, const cluster_state& s,
+                                      const group_record& group, const failover& f, bool among_leaving) {
     const server_answer* best = nullptr;
     for (const auto& [id, answer] : f.answers) {
         if (!is_eligible(c, s, group, f, answer) || is_leaving(s, id) != among_leaving) {
@@ -89,15 +89,16 @@
     return best;
 }
 
-// A server that leaves goes on only where nobody else holds the log: the others can follow it then, and one
-// of them takes over when it has caught up.
-const server_answer* find_failover_candidate(const control_state& c, const cluster_state& s, const group_record& group,
-                                    const failover& f) {
+// Returns the best candidate after a failure. A leaving server is selected only if no other server holds the
+// log; the others can then replicate from it, and one of them takes over when it has caught up.
+const server_answer* find_failover_candidate(const control_state& c, const cluster_state& s,
+                                             const group_record& group, const failover& f) {
     const server_answer* best = find_longest_log(c, s, group, f, false);
     return best != nullptr ? best : find_longest_log(c, s, group, f, true);
 }
 
-// Who may take over from a living primary that holds so much: the operator's wish, if there is one.
+// Returns the best successor of a live primary that has reached `required_position`; only the target, if one
+// is set.
 const server_answer* find_successor(const control_state& c, const cluster_state& s, const group_record& group,
                                     const failover& f, log_position required_position) {
     const server_answer* best = nullptr;
@@ -119,14 +120,14 @@
     return found != f.answers.end() && found->second.answered ? &found->second : nullptr;
 }
 
-// Writes are closed for no longer than the approach took, which is about the replication lag, and
-// switchover_timeout.
+// Returns true if writes have been fenced for the time that the catch-up before the fence took, which is
+// about the replication lag, plus switchover_wait.
 bool has_catch_up_timed_out(const control_state& c, const failover& f, time_point now) {
     const duration catch_up_time = f.fence_proposed_at - f.started_at;
     return now - f.fence_proposed_at >= catch_up_time + c.config.switchover_timeout;
 }
 
-// A promotion that an earlier leader ordered is found done.
+// Returns a server whose promotion by an earlier leader has completed.
 const server_answer* find_promoted(const group_record& group, const failover& f) {
     const auto found = std::find_if(f.answers.begin(), f.answers.end(), [&group](const auto& a) {
         return a.second.answered && a.second.is_primary && a.second.timeline > group.timeline;
@@ -134,9 +135,10 @@
     return found == f.answers.end() ? nullptr : &found->second;
 }
 
-// Nobody who acknowledges writes is left, so what the old primary holds now is all that counts.
+// Returns the candidate of a planned switchover. Behind the fence no server acknowledges writes, so a
+// successor must have reached the old primary's present position.
 const server_answer* find_switchover_candidate(const control_state& c, const cluster_state& s,
-                                       const group_record& group, const failover& f, time_point now) {
+                                               const group_record& group, const failover& f, time_point now) {
     if (const server_answer* promoted = find_promoted(group, f)) {
         return promoted;
     }
@@ -153,11 +155,12 @@
 //-----------------------------------------------------------------------------
 
 void query_positions(control_state& c, const cluster_state& s, const group_record& group, failover& f,
-                   failover_step step, time_point now, control_actions& actions) {
+                     failover_step step, time_point now, control_actions& actions) {
     enter_step(f, step, now);
     f.answers.clear();
     f.pending_operations.clear();
-    // The old primary may go on, under the next term, where most observers have it back: its log is whole.
+    // The old primary may be selected again, under the next term, if a majority of its observers report it
+    // alive: its log is complete.
     const bool skip_primary = !f.planned && is_reported_dead(c, group.primary, now);
     for (const server_record& server : servers_of(s, group.id)) {
         if ((server.id == group.primary && skip_primary) || f.failed_candidates.contains(server.id)) {
@@ -170,12 +173,12 @@
 }
 
 void query_replicas(control_state& c, const cluster_state& s, const group_record& group, failover& f,
-                  time_point now, control_actions& actions) {
+                    time_point now, control_actions& actions) {
     query_positions(c, s, group, f, failover_step::probing, now, actions);
 }
 
-// A planned switch asks again soon at first, and seldom once the replicas are seen to be far behind: about
-// twelve times in the 7 s that a leaving server has by default.
+// Returns true if a planned switchover should query the positions again. The interval grows with the time
+// since `since`, which makes about twelve queries in the 7 s that a leaving server has by default.
 bool may_query_again(const control_state& c, const failover& f, time_point since, time_point now) {
     const duration answer_timeout = f.pending_operations.empty() ? duration{0} : c.config.probe_timeout;
     const duration interval = std::max(c.config.catch_up_interval, (f.step_started_at - since) / 2);
@@ -192,8 +195,8 @@
         set_group{.expected_term = group.term, .expected_phase = group_phase::serving, .next = next}});
 }
 
-void propose_new_primary(const cluster_state& s, const group_record& group, failover& f, const server_answer& new_primary,
-             time_point now, control_actions& actions) {
+void propose_new_primary(const cluster_state& s, const group_record& group, failover& f,
+                         const server_answer& new_primary, time_point now, control_actions& actions) {
     enter_step(f, failover_step::publishing, now);
     group_record next = group;
     next.term = group.term + 1;
@@ -208,10 +211,10 @@
     add_event(actions, f, "promoted", group.id, new_primary.server, now);
 }
 
-// Each order carries a token above all earlier ones, so that one whose answer was lost cannot be carried out
-// once a later one has been seen.
+// Requests a promotion. Each request carries a higher fencing token than all earlier ones, so that a request
+// whose answer was lost cannot take effect after a later one.
 void request_promotion(control_state& c, const cluster_state& s, const group_record& group, failover& f,
-                     std::uint64_t timeline, time_point now, control_actions& actions) {
+                       std::uint64_t timeline, time_point now, control_actions& actions) {
     const std::uint64_t operation = c.next_operation++;
     f.pending_operations = {operation};
     f.promotion_timeline = timeline;
@@ -223,14 +226,14 @@
 }
 
 void promote_best_candidate(control_state& c, const cluster_state& s, const group_record& group, failover& f,
-                  time_point now, control_actions& actions) {
+                            time_point now, control_actions& actions) {
     const server_answer* best =
         f.planned ? find_switchover_candidate(c, s, group, f, now) : find_failover_candidate(c, s, group, f);
     if (best == nullptr) {
         return;
     }
     if (best->is_primary && !c.config.always_promote) {
-        // The old primary was chosen again, or an earlier leader's promotion is found done.
+        // The old primary was selected again, or an earlier leader's promotion has completed.
         propose_new_primary(s, group, f, *best, now, actions);
         return;
     }
@@ -239,16 +242,16 @@
     request_promotion(c, s, group, f, best->timeline, now, actions);
 }
 
-// The primary is alive by its observers' word, and does not answer the leader. Without its position nobody
-// can be shown to hold all that it has acknowledged, so it goes on.
+// Aborts a switchover whose primary is reported alive but does not answer the leader. Without its position no
+// successor is known to hold all acknowledged writes, so the old primary continues.
 void abort_switchover(control_state& c, const cluster_state& s, const group_record& group, failover& f,
-                    time_point now, control_actions& actions) {
+                      time_point now, control_actions& actions) {
     add_event(actions, f, "switchover_given_up", group.id, group.primary, now);
     const server_answer unchanged_primary{.server = group.primary,
-                                  .answered = true,
-                                  .is_primary = true,
-                                  .timeline = group.timeline,
-                                  .position = std::numeric_limits<log_position>::max()};
+                                          .answered = true,
+                                          .is_primary = true,
+                                          .timeline = group.timeline,
+                                          .position = std::numeric_limits<log_position>::max()};
     if (!c.config.always_promote) {
         propose_new_primary(s, group, f, unchanged_primary, now, actions);
         return;
@@ -258,10 +261,11 @@
     request_promotion(c, s, group, f, group.timeline, now, actions);
 }
 
-// Before the fence, with writes going on: fences once a successor holds what the primary held at the start. A
-// replica that lags evenly needs as long for the rest, so writes are closed no longer than has been waited.
+// Runs before the fence, while writes continue: sets the fence once a successor has reached the primary's
+// position at the start. A replica with a constant lag needs the same time for the remainder, so writes are
+// fenced for no longer than the catch-up took.
 void advance_catch_up(control_state& c, const cluster_state& s, const group_record& group, failover& f,
-              time_point now, control_actions& actions) {
+                      time_point now, control_actions& actions) {
     const server_answer* primary = find_primary_answer(group, f);
     if (!f.catch_up_position && primary != nullptr) {
         f.catch_up_position = primary->position;
@@ -279,16 +283,17 @@
     }
 }
 
-// Behind the fence: promotes as soon as the answers allow it, and asks again until then.
+// Runs behind the fence: promotes the best candidate once the answers allow it, and repeats the queries until
+// then.
 void advance_probing(control_state& c, const cluster_state& s, const group_record& group, failover& f,
-                    time_point now, control_actions& actions) {
+                     time_point now, control_actions& actions) {
     if (f.planned && is_reported_dead(c, group.primary, now)) {
-        f.planned = false; // as after any other death
+        f.planned = false; // continues as an unplanned failover
         query_replicas(c, s, group, f, now, actions);
         return;
     }
     if (f.planned && f.requested_target && has_catch_up_timed_out(c, f, now)) {
-        f.requested_target.reset(); // anyone who holds everything may go on
+        f.requested_target.reset(); // any server with the complete log is eligible
     }
     if (f.pending_operations.empty() || now - f.step_started_at >= c.config.probe_timeout) {
         promote_best_candidate(c, s, group, f, now, actions);
@@ -301,7 +306,7 @@
     } else if (f.planned && may_query_again(c, f, f.fence_proposed_at, now)) {
         query_replicas(c, s, group, f, now, actions);
     } else if (now - f.step_started_at >= c.config.probe_timeout + c.config.retry_delay) {
-        f.failed_candidates.clear(); // one that failed before may be back
+        f.failed_candidates.clear(); // failed servers may have recovered
         query_replicas(c, s, group, f, now, actions);
     }
 }
@@ -346,8 +351,8 @@
     return server_settings(s.current_table, server).leaving || (known != s.servers.end() && known->second.leaving);
 }
 
-bool should_replace_leaving_primary(control_state& c, const cluster_state& s, const group_record& group, time_point now,
-                        control_actions& actions) {
+bool should_replace_leaving_primary(control_state& c, const cluster_state& s, const group_record& group,
+                                    time_point now, control_actions& actions) {
     if (!is_leaving(s, group.primary)) {
         c.groups_without_successor.erase(group.id);
         return false;
@@ -358,7 +363,8 @@
     }
     const auto servers = servers_of(s, group.id);
     const bool has_successor = std::any_of(servers.begin(), servers.end(), [&](const server_record& server) {
-        return server.id != group.primary && !is_leaving(s, server.id) && is_reported_alive(c, server.id, now);
+        return server.id != group.primary && !is_leaving(s, server.id) &&
+               is_reported_alive(c, server.id, now);
     });
     if (has_successor) {
         c.groups_without_successor.erase(group.id);
@@ -391,10 +397,12 @@
     }
 }
 
-void sync_failover_with_record(control_state& c, const cluster_state& s, const group_record& group, time_point now) {
+void sync_failover_with_record(control_state& c, const cluster_state& s, const group_record& group,
+                               time_point now) {
     auto found = c.failovers.find(group.id);
     if (group.phase == group_phase::serving) {
-        const bool is_past_fencing = found != c.failovers.end() && found->second.step > failover_step::fencing;
+        const bool is_past_fencing =
+            found != c.failovers.end() && found->second.step > failover_step::fencing;
         if (is_past_fencing) {
             c.failovers.erase(found);
         }
@@ -404,7 +412,8 @@
         failover f;
         f.started_at = now;
         f.fence_proposed_at = now;
-        f.planned = is_leaving(s, group.primary); // it is left as carefully as by the leader that began
+        // A switchover of an earlier leader away from a leaving primary continues as a switchover.
+        f.planned = is_leaving(s, group.primary);
         found = c.failovers.emplace(group.id, f).first;
     }
     if (found->second.step == failover_step::fencing) {
@@ -413,12 +422,12 @@
     }
 }
 
-void advance_failover(control_state& c, const cluster_state& s, const group_record& group, failover& f, time_point now,
-             control_actions& actions) {
+void advance_failover(control_state& c, const cluster_state& s, const group_record& group, failover& f,
+                      time_point now, control_actions& actions) {
     switch (f.step) {
     case failover_step::catching_up: advance_catch_up(c, s, group, f, now, actions); return;
     case failover_step::fencing:
-    case failover_step::publishing: return; // waits for the log
+    case failover_step::publishing: return; // waits for the commit
     case failover_step::revoking:
         if (is_in_force(c, s, f.fence_revision, now)) {
             add_event(actions, f, "writes_revoked", group.id, group.primary, now);
@@ -436,7 +445,8 @@
 }
 
 void handle_server_restart(control_state& c, const cluster_state& s, const group_record& group,
-                  const server_id& server, log_position highest_position, time_point now, control_actions& actions) {
+                           const server_id& server, log_position highest_position, time_point now,
+                           control_actions& actions) {
     const auto running = c.failovers.find(group.id);
     const bool was_primary = group.primary == server;
     if (running == c.failovers.end()) {
@@ -455,7 +465,7 @@
     f.answers.erase(server);
     if (was_primary) {
         f.position_before_restart = std::max(f.position_before_restart, highest_position);
-        f.planned = false; // what it holds now no longer tells what it acknowledged
+        f.planned = false; // its position no longer covers all acknowledged writes
     }
     if (f.step == failover_step::promoting && f.candidate == server) {
         f.failed_candidates.insert(server);
@@ -464,7 +474,7 @@
 }
 
 void handle_failover_answer(control_state& c, const cluster_state& s, const group_record& group, failover& f,
-                          const server_answer& a, time_point now, control_actions& actions) {
+                            const server_answer& a, time_point now, control_actions& actions) {
     if (f.step == failover_step::probing || f.step == failover_step::catching_up) {
         f.answers[a.server] = a;
         advance_failover(c, s, group, f, now, actions);
--- a/src/core/failover.hpp
+++ b/src/core/failover.hpp
@@ -1,4 +1,4 @@
-// How a group gets another primary: see the steps in control.hpp.
+// Failover and planned switchover of a replication group's primary. control.hpp lists the steps.
 #pragma once
 
 #include "core/control.hpp"
@@ -9,46 +9,49 @@
 // [detection]
 //-----------------------------------------------------------------------------
 
-// The daemon was heard lately, so its observations count.
+// Returns true if the daemon's last renewal is at most observation_age old, so that its observations count.
 bool has_recent_observations(const control_state& c, const daemon_state& d, time_point now);
 
-// A majority of the server's observers call it dead, so that neither a one-way cut nor one sick observer is
-// taken for a death.
+// Returns true if a majority of the server's observers report it dead. A majority is required so that neither
+// a one-way partition nor one faulty observer triggers a failover.
 bool is_reported_dead(const control_state& c, const server_id& server, time_point now);
 
-// Anyone who was heard lately has an answer of it.
+// Returns true if any daemon with recent observations has had an answer from the server.
 bool is_reported_alive(const control_state& c, const server_id& server, time_point now);
 
-// By its own agreed word, or the operators'.
+// Returns true if the server's committed announcement or the operators' settings mark it as leaving.
 bool is_leaving(const cluster_state& s, const server_id& server);
 
-// The primary says that it is leaving, and another server of the group can take over. That none can is noted
-// once.
-bool should_replace_leaving_primary(control_state& c, const cluster_state& s, const group_record& group, time_point now,
-                        control_actions& actions);
+// Returns true if the primary is leaving, another server of the group can take over and switchover_pause has
+// passed since the last attempt. Emits one event when no successor is available.
+bool should_replace_leaving_primary(control_state& c, const cluster_state& s, const group_record& group,
+                                    time_point now, control_actions& actions);
 
 //-----------------------------------------------------------------------------
 // [steps]
 //-----------------------------------------------------------------------------
 
-// `target` may be empty.
+// Starts a failover, or a switchover if `planned`. `target`: the preferred new primary; empty = any.
 void begin_failover(control_state& c, const cluster_state& s, const group_record& group, bool planned,
                     const server_id& target, time_point now, control_actions& actions);
 
-// Takes up what the log says: a fence that committed, a finished failover, an earlier leader's open one.
-void sync_failover_with_record(control_state& c, const cluster_state& s, const group_record& group, time_point now);
+// Updates the failover from the committed group record: a committed fence, a completed failover, or an open
+// failover of an earlier leader.
+void sync_failover_with_record(control_state& c, const cluster_state& s, const group_record& group,
+                               time_point now);
 
-// Time passed, or something that the failover waits for has come.
-void advance_failover(control_state& c, const cluster_state& s, const group_record& group, failover& f, time_point now,
-             control_actions& actions);
+// Advances the failover after a timer tick or after an event that it waits for.
+void advance_failover(control_state& c, const cluster_state& s, const group_record& group, failover& f,
+                      time_point now, control_actions& actions);
 
-// A server that was asked for its position, or ordered to promote, has answered.
+// Handles a server's answer to a position query or to a promotion request.
 void handle_failover_answer(control_state& c, const cluster_state& s, const group_record& group, failover& f,
-                          const server_answer& a, time_point now, control_actions& actions);
+                            const server_answer& a, time_point now, control_actions& actions);
 
-// A server of the group has started again: nothing that it answered counts, and if it was the candidate,
-// another one is looked for. `held`: the highest position that it was seen with before.
+// Handles a restart of a server of the group: discards its earlier answers, and selects another candidate if
+// the server was being promoted. `highest_position`: the highest log position observed before the restart.
 void handle_server_restart(control_state& c, const cluster_state& s, const group_record& group,
-                  const server_id& server, log_position highest_position, time_point now, control_actions& actions);
+                           const server_id& server, log_position highest_position, time_point now,
+                           control_actions& actions);
 
 } // namespace larchpin
--- a/src/core/health.cpp
+++ b/src/core/health.cpp
@@ -14,8 +14,8 @@
 constexpr duration min_failure_latency = std::chrono::milliseconds{20};
 constexpr duration max_failure_latency = std::chrono::seconds{2};
 constexpr int smoothing_divisor = 8;
-// From the highest penalty (2 s) to a usual answer's time (20 ms) in seven halvings: a server that has
-// recovered is tried again within 3.5 s, about as long as its ramp after an ejection takes.
+// Seven halvings reduce the highest penalty (2 s) to a normal response time (20 ms): a recovered server is
+// tried again within 3.5 s, about the length of the slow start after an ejection.
 constexpr duration penalty_half_life = std::chrono::milliseconds{500};
 constexpr double max_tokens = 10;
 constexpr double tokens_per_request = 0.1;
@@ -43,13 +43,14 @@
     h.penalty = std::max(h.penalty, duration{0});
     h.penalty_at = now;
     if (now < h.ejected_until) {
-        return; // the rest of what was running there when it was ejected
+        return; // a request that was running at the time of the ejection
     }
     if (++h.consecutive_failures < failures_to_eject) {
         return;
     }
     h.consecutive_failures = 0;
-    h.ejected_until = now + base_ejection_time * (1U << std::min(h.consecutive_ejections, max_ejection_doublings));
+    h.ejected_until =
+        now + base_ejection_time * (1U << std::min(h.consecutive_ejections, max_ejection_doublings));
     ++h.consecutive_ejections;
 }
 
--- a/src/core/home_order.cpp
+++ b/src/core/home_order.cpp
@@ -24,9 +24,9 @@
     return instances;
 }
 
-// The instance that this server is given first place at: server by server each takes the best-ranked one that
-// is first for fewer than its part, so that none orders two servers while another one orders none. Nothing
-// where the domain has no instance that takes callers.
+// Returns the server's ordering home. Servers are assigned in order; each takes the best-ranked instance of
+// its domain that has fewer than max_per_instance servers, so that no instance orders two servers while
+// another one orders none. Empty if the domain has no instance that accepts clients.
 instance_id assign_first_home(const cluster_state& s, const server_record& wanted) {
     const std::vector<instance_id> candidates = client_facing_instances(s, wanted.domain);
     if (candidates.empty()) {
--- a/src/core/home_order.hpp
+++ b/src/core/home_order.hpp
@@ -1,9 +1,10 @@
-// Through which instance the statements for a backend server go.
+// Selection of the ordering home: the home instance that all statements for a backend server pass through, so
+// that one instance queues and schedules them.
 //
-// A server that runs a few statements at once serves what it gets in the order of arrival. So that urgent
-// work goes first and the rest waits here, one instance orders all statements for a server: the first of a
-// list that everyone computes alike. The others of the list stand by: whoever finds the first one silent, or
-// hears that control has lost it, goes to the next.
+// A backend server runs few statements concurrently and serves them in the order of arrival. The ordering
+// home queues them so that urgent statements are sent first. It is the first instance of a list that every
+// instance computes identically. The other instances of the list are standbys: requests go to the next one if
+// the first does not answer or control has declared it lost.
 #pragma once
 
 #include "core/cluster_state.hpp"
@@ -12,10 +13,10 @@
 
 namespace larchpin {
 
-// The instances that take callers, in the order in which they are asked to order the server's statements:
-// those of the server's own failure domain first, so that no statement crosses a border twice. The first
-// places of all servers are spread evenly over the instances. Empty where every instance holds connections of
-// its own (see home_instances()), and for an unknown server.
+// Returns the instances that accept clients, in the order of preference as the server's ordering home.
+// Instances of the server's failure domain come first, so that no statement crosses a domain boundary twice.
+// The first places of all servers are spread evenly over the instances. Empty if every instance holds its own
+// connections (see home_instances()) or the server is unknown.
 std::vector<instance_id> order_homes(const cluster_state& s, const server_id& server, unsigned connections);
 
 } // namespace larchpin
--- a/src/core/lenders.cpp
+++ b/src/core/lenders.cpp
@@ -5,22 +5,23 @@
 namespace larchpin {
 namespace {
 
-// A lender that did not answer is left alone for so long: longer than a restart takes.
+// A silent peer is avoided for this time, which is longer than a restart takes.
 constexpr duration silent_duration = std::chrono::milliseconds{500};
-// Three in the time that a lender which has started again needs to be found (0.3 s).
+// Three pings fit into the 0.3 s within which a restarted peer must be detected.
 constexpr duration ping_interval = std::chrono::milliseconds{100};
-// A lender without a connection tries for one every 50 to 200 ms (core/pool). Asked by each request
-// meanwhile, it would spend its processor on refusals.
+// A peer without a connection tries to open one every 50 to 200 ms (core/pool). If every request were sent to
+// it meanwhile, it would spend its CPU time on refusals.
 constexpr duration no_connection_duration = std::chrono::milliseconds{100};
 
-// Between two failure domains a round trip takes a few milliseconds; more than this beyond the quickest is
-// worth another lender.
+// A round trip between two failure domains takes a few milliseconds. A peer whose delay exceeds the fastest
+// peer's by more than this is considered slow.
 constexpr duration slow_delay_margin = std::chrono::milliseconds{15};
 constexpr int slow_delay_factor = 4;
 constexpr int smoothing_divisor = 8;
 constexpr std::size_t max_round_trip_delays = 2000;
 
-int preference_class(const lender_tracker& tracker, const server_id& server, const lender& l, time_point now) {
+int preference_class(const lender_tracker& tracker, const server_id& server, const lender& l,
+                     time_point now) {
     const auto last = tracker.last_lender.find(server);
     if (last != tracker.last_lender.end() && last->second == l.address) {
         return -1;
@@ -41,7 +42,7 @@
         if (!silent && !is_unreachable(r, now)) {
             continue;
         }
-        mark_silent(tracker, address, now); // stays so until it is heard
+        mark_silent(tracker, address, now); // stays silent until it answers
         if (now >= r.next_probe) {
             r.next_probe = now + ping_interval;
             pings.push_back(address);
@@ -82,7 +83,8 @@
     }
     const auto quickest = std::min_element(tracker.round_trip_delays.begin(), tracker.round_trip_delays.end(),
                                            [](const auto& x, const auto& y) { return x.second < y.second; });
-    return known->second > quickest->second + slow_delay_margin && known->second > quickest->second * slow_delay_factor;
+    return known->second > quickest->second + slow_delay_margin &&
+           known->second > quickest->second * slow_delay_factor;
 }
 
 bool is_silent(const lender_tracker& tracker, const std::string& address, time_point now) {
@@ -106,9 +108,12 @@
     std::vector<lender> order = candidates;
     std::shuffle(order.begin(), order.end(), random);
     std::stable_sort(order.begin(), order.end(), [&](const lender& x, const lender& y) {
-        return std::pair(preference_class(tracker, server, x, now), x.rank) < std::pair(preference_class(tracker, server, y, now), y.rank);
+        return std::pair(preference_class(tracker, server, x, now), x.rank) <
+               std::pair(preference_class(tracker, server, y, now), y.rank);
     });
-    const auto has_no_connection = [&](const lender& l) { return is_without_connection(tracker, server, l.address, now); };
+    const auto has_no_connection = [&](const lender& l) {
+        return is_without_connection(tracker, server, l.address, now);
+    };
     if (std::all_of(order.begin(), order.end(), has_no_connection)) {
         order.resize(std::min<std::size_t>(order.size(), 1));
     } else {
--- a/src/core/positions.cpp
+++ b/src/core/positions.cpp
@@ -5,7 +5,7 @@
 namespace larchpin {
 namespace {
 
-// Drops every second of the older half: old samples serve only rough ages.
+// Drops every second sample of the older half; old samples are needed for coarse staleness bounds only.
 void downsample_older_half(std::deque<position_sample>& samples) {
     std::deque<position_sample> kept;
     const std::size_t half = samples.size() / 2;
@@ -27,7 +27,7 @@
         g.term = term;
         g.primary_samples.clear();
     }
-    // Samples from several observers may come out of order; an older one adds nothing.
+    // Samples from several observers may arrive out of order; an older one adds no information.
     if (!g.primary_samples.empty() && sample.not_before <= g.primary_samples.back().not_before) {
         return;
     }
@@ -44,19 +44,20 @@
         return;
     }
     known.newest = sample;
-    // The first sample of the primary beyond what the server holds tells since when it lacks something.
-    const auto beyond = std::partition_point(g.primary_samples.begin(), g.primary_samples.end(), [&sample](const auto& s) {
-        return s.position <= sample.position;
-    });
-    known.lag =
-        beyond == g.primary_samples.end() ? duration{0} : std::max(duration{0}, answered_by - beyond->not_before);
+    // The first sample of the primary beyond the server's position dates the oldest write that the server may
+    // lack.
+    const auto beyond =
+        std::partition_point(g.primary_samples.begin(), g.primary_samples.end(),
+                             [&sample](const auto& s) { return s.position <= sample.position; });
+    known.lag = beyond == g.primary_samples.end() ? duration{0}
+                                                  : std::max(duration{0}, answered_by - beyond->not_before);
 }
 
 bool likely_has_position(const group_positions& g, const server_id& server, std::uint64_t timeline,
-                       log_position position, time_point now, duration max_sample_age) {
+                         log_position position, time_point now, duration max_sample_age) {
     const auto found = g.servers.find(server);
     if (found == g.servers.end() || now - found->second.newest.not_before > max_sample_age) {
-        return true; // nothing is known: asking tells
+        return true; // no usable sample: a query to the server provides one
     }
     const server_position& p = found->second;
     if (p.newest.timeline == timeline && p.newest.position >= position) {
@@ -73,7 +74,8 @@
     if (!position) {
         return std::nullopt;
     }
-    // Positions rise with time, so the last sample not beyond the replica is the newest it covers.
+    // Positions increase with time, so the last sample not beyond the replica is the newest one that it
+    // covers.
     const auto after = std::partition_point(g.primary_samples.begin(), g.primary_samples.end(),
                                             [&position](const auto& s) { return s.position <= *position; });
     if (after == g.primary_samples.begin()) {
--- a/src/core/reachability.hpp
+++ b/src/core/reachability.hpp
@@ -1,30 +1,31 @@
-// Whether a backend server answers this daemon at all, as far as its own traffic tells. A server may be alive
-// for everyone else, and silent here: then another daemon's connections may do.
+// Reachability of a peer or a backend server, detected from this daemon's own traffic. A server may be
+// unreachable from this daemon only; requests can then be forwarded over another daemon's connections.
 #pragma once
 
 #include "core/types.hpp"
 
 namespace larchpin {
 
-// One server, as one daemon sees it.
+// Reachability of one server or peer from one daemon.
 struct reachability {
-    time_point unanswered_since{}; // the first question since the last answer; 0: none is open
+    time_point unanswered_since{}; // first request since the last answer; 0 = none pending
     time_point next_probe{};
     bool probing = false;
     auto operator<=>(const reachability&) const = default;
 };
 
-// Usual answers take 4 to 150 ms, a queue at a busy server included.
+// Normal answers take 4 to 150 ms, including the queueing delay at a busy server.
 constexpr duration reachability_timeout = std::chrono::milliseconds{250};
 constexpr duration reachability_probe_interval = std::chrono::milliseconds{500};
 
-// Something was sent, or a connection is being opened.
+// Records that a request was sent or that a connection is being opened.
 void record_request(reachability& r, time_point now);
 void record_answer(reachability& r);
 
 bool is_unreachable(const reachability& r, time_point now);
 
-// Time to open a connection just to see whether it answers again; the next look is planned.
+// Returns true if a probe connection should be opened now to check whether an unreachable server answers
+// again; schedules the next probe.
 bool begin_probe_if_due(reachability& r, time_point now);
 
 } // namespace larchpin
--- a/src/core/rendezvous.cpp
+++ b/src/core/rendezvous.cpp
@@ -14,7 +14,7 @@
 
 } // namespace
 
-// FNV-1a with a final mix: every daemon must compute the same, so std::hash will not do.
+// FNV-1a with a finalizer. std::hash is unsuitable because every daemon must compute the same value.
 std::uint64_t stable_hash(std::string_view a, std::string_view b) {
     constexpr std::uint64_t prime = 1099511628211ULL;
     constexpr std::uint64_t mix = 0xff51afd7ed558ccdULL;
@@ -70,10 +70,10 @@
 
 namespace {
 
-// Below this many connections an instance each of two statements at once meets a closed door.
+// With fewer connections per instance, one of two concurrent statements finds no connection.
 constexpr std::size_t min_connections_per_instance = 2;
-// Homes of workspaces' connections in the server's own failure domain: one that is lost costs a third of the
-// workspaces a detour until the next one has opened connections for them.
+// Home instances for workspaces in the server's failure domain. Losing one sends a third of the workspaces to
+// another home instance, which must first open connections for them.
 constexpr std::size_t workspace_homes_in_domain = 3;
 
 std::size_t count_client_facing(const cluster_state& s) {
@@ -89,9 +89,9 @@
 
 namespace {
 
-// Those that take callers, by failure domain, best-ranked first.
-std::map<failure_domain, std::vector<ranked_id>> rank_client_facing(const cluster_state& s, const server_id& server,
-                                                           const std::set<instance_id>& lost) {
+// Returns the instances that accept clients, by failure domain, best-ranked first.
+std::map<failure_domain, std::vector<ranked_id>>
+rank_client_facing(const cluster_state& s, const server_id& server, const std::set<instance_id>& lost) {
     std::map<failure_domain, std::vector<ranked_id>> by_domain;
     for (const auto& [id, record] : s.instances) {
         if (record.accepts_clients && !lost.contains(id)) {
@@ -132,7 +132,7 @@
 
 std::vector<instance_id> home_instances(const cluster_state& s, const server_id& server, unsigned connections,
                                         const std::set<instance_id>& lost) {
-    // A home's connections: one waits for another less often where several are in one place.
+    // Several connections in one place reduce the time that statements wait for a free one.
     constexpr std::size_t connections_per_home = 4;
     std::vector<instance_id> homes;
     if (all_instances_hold_connections(s, connections)) {
--- a/src/core/server_load.cpp
+++ b/src/core/server_load.cpp
@@ -6,17 +6,18 @@
 namespace larchpin {
 namespace {
 
-constexpr int smoothing_divisor = 8;         // of times
-constexpr double failure_window = 16; // answers over which the share of failures is taken
-constexpr int min_rise_divisor = 512;      // answers after which the least time has followed the usual one halfway
-// A server that fails in turns of a second stays out between them, and is back within seconds of its last.
+constexpr int smoothing_divisor = 8;  // of the EWMA of times
+constexpr double failure_window = 16; // answers; window of the EWMA of failures
+constexpr int min_rise_divisor = 512; // of the minimum's rise per answer
+// A server that alternates between failing and healthy every second stays excluded in between, and is used
+// again within seconds of its last failure.
 constexpr duration failure_half_life = std::chrono::seconds{2};
-// A server that was slow is tried again about as soon as a caller comes back.
+// A server that was slow is tried again after about the delay of a client's retry.
 constexpr duration response_time_half_life = std::chrono::milliseconds{500};
 constexpr duration failure_cost =
-    std::chrono::milliseconds{500}; // a refused caller is told to come back then
+    std::chrono::milliseconds{500}; // retry delay that a refused client is given
 constexpr duration lowest_response_time = std::chrono::milliseconds{1};
-constexpr double significant_ratio = 0.25; // of a count or a time
+constexpr double significant_ratio = 0.25; // relative change of a count or a time
 constexpr unsigned significant_count = 2;
 constexpr double significant_failure_change = 0.05;
 
@@ -40,7 +41,7 @@
 } // namespace
 
 //-----------------------------------------------------------------------------
-// [at the lender]
+// [reporting]
 //-----------------------------------------------------------------------------
 
 void record_outcome(response_stats& a, const statement_outcome& e, time_point now) {
@@ -50,10 +51,15 @@
     const bool is_worse = a.failure_ratio >= previous_ratio;
     a.peak_failure_ratio = is_worse ? a.failure_ratio : previous_ratio;
     a.peak_at = now;
-    if (e.answered && !e.failed) { // a quick failure is no quick answer
+    if (e.answered && !e.failed) { // a fast failure is not a fast response
         const duration previous_time = current_response_time(a, now);
-        a.response_time = previous_time.count() == 0 ? e.took : previous_time + (e.took - previous_time) / smoothing_divisor;
-        a.min_response_time = a.min_response_time.count() == 0 ? a.response_time : std::min(a.response_time, a.min_response_time + a.min_response_time / min_rise_divisor);
+        a.response_time = previous_time.count() == 0
+                              ? e.took
+                              : previous_time + (e.took - previous_time) / smoothing_divisor;
+        a.min_response_time =
+            a.min_response_time.count() == 0
+                ? a.response_time
+                : std::min(a.response_time, a.min_response_time + a.min_response_time / min_rise_divisor);
     }
     a.last_ended_at = now;
     if (e.position && (!a.position || a.position->not_before <= e.position->not_before)) {
@@ -62,12 +68,14 @@
 }
 
 duration current_response_time(const response_stats& a, time_point now) {
-    return a.min_response_time + scaled(a.response_time - a.min_response_time, decay_factor(now - a.last_ended_at, response_time_half_life));
+    return a.min_response_time + scaled(a.response_time - a.min_response_time,
+                                        decay_factor(now - a.last_ended_at, response_time_half_life));
 }
 
 double current_failure_ratio(const response_stats& a, time_point now) {
     const double recent = a.failure_ratio * decay_factor(now - a.last_ended_at, failure_half_life);
-    return std::clamp(std::max(recent, a.peak_failure_ratio * decay_factor(now - a.peak_at, failure_half_life)), 0.0, 1.0);
+    return std::clamp(
+        std::max(recent, a.peak_failure_ratio * decay_factor(now - a.peak_at, failure_half_life)), 0.0, 1.0);
 }
 
 server_load make_load(const server_id& server, const response_stats& a, const server_usage& use,
@@ -89,12 +97,13 @@
     const unsigned most = std::max(work(a), work(b));
     const unsigned change = most - std::min(work(a), work(b));
     return (change >= significant_count && change > significant_ratio * most) ||
-           is_significant_change(a.response_time, b.response_time) || is_significant_change(a.queue_delay, b.queue_delay) ||
+           is_significant_change(a.response_time, b.response_time) ||
+           is_significant_change(a.queue_delay, b.queue_delay) ||
            std::abs(a.failure_ratio - b.failure_ratio) > significant_failure_change;
 }
 
 //-----------------------------------------------------------------------------
-// [at a reader]
+// [routing]
 //-----------------------------------------------------------------------------
 
 bool update_load(load_cache& cache, const server_load& load) {
@@ -107,15 +116,16 @@
         return true;
     }
     if (cache.loads.size() >= max_known_loads) {
-        cache.loads.erase(std::min_element(cache.loads.begin(), cache.loads.end(), [](const auto& x, const auto& y) {
-            return x.second.load.as_of < y.second.load.as_of;
-        }));
+        cache.loads.erase(
+            std::min_element(cache.loads.begin(), cache.loads.end(), [](const auto& x, const auto& y) {
+                return x.second.load.as_of < y.second.load.as_of;
+            }));
     }
     cache.loads[load.server] = {.load = load};
     return true;
 }
 
-void note_sent(load_cache& cache, const server_id& server) {
+void record_sent(load_cache& cache, const server_id& server) {
     const auto known = cache.loads.find(server);
     if (known != cache.loads.end()) {
         ++known->second.sent_since;
@@ -148,11 +158,13 @@
 }
 
 duration expected_completion(const known_load& k) {
-    const double relative_age = static_cast<double>(k.age.count()) /
-                        static_cast<double>(std::max(k.load.response_time, lowest_response_time).count());
+    const double relative_age =
+        static_cast<double>(k.age.count()) /
+        static_cast<double>(std::max(k.load.response_time, lowest_response_time).count());
     const duration wait = scaled(k.load.queue_delay, 1.0 / (1.0 + relative_age * relative_age));
     const duration own_delay = k.load.response_time * k.sent_since / concurrency(k.load);
-    return wait + k.load.response_time + own_delay + k.round_trip_delay + scaled(failure_cost, k.load.failure_ratio);
+    return wait + k.load.response_time + own_delay + k.round_trip_delay +
+           scaled(failure_cost, k.load.failure_ratio);
 }
 
 bool has_free_slot(const known_load& k) {
--- a/tests/balance_test.cpp
+++ b/tests/balance_test.cpp
@@ -1,8 +1,7 @@
-// How reads are divided between servers where their loads are told, and what becomes of slow and failing
-// ones.
+// Distribution of reads between backend servers by their reported loads, with slow and failing servers.
 //
 // Index
-//   [model]  [uneven servers]  [bad servers]  [idle servers]  [loads]  [lenders]
+//   [model]  [uneven servers]  [failing servers]  [idle servers]  [loads]  [forwarding peers]
 #include "core/lenders.hpp"
 #include "core/routing.hpp"
 
@@ -26,7 +25,7 @@
 constexpr unsigned slots = 4;
 constexpr std::size_t router_count = 70;
 
-// How a server does at a moment since the start.
+// Behavior of a server at a time since the start.
 struct server_behavior {
     duration service_time = milliseconds{20};
     double failure_ratio = 0;
@@ -34,7 +33,9 @@
 using behavior_at = std::function<server_behavior(duration)>;
 
 behavior_at always(duration work, double fails = 0) {
-    return [work, fails](duration /*at*/) { return server_behavior{.service_time = work, .failure_ratio = fails}; };
+    return [work, fails](duration /*at*/) {
+        return server_behavior{.service_time = work, .failure_ratio = fails};
+    };
 }
 
 struct finished_read {
@@ -43,20 +44,21 @@
     bool failed = false;
 };
 
-// A server whose statements one instance orders: at most `slots` at once, the rest waits there.
+// A server behind an ordering home, which runs at most `slots` statements at once and queues the rest.
 struct simulated_server {
     server_id id;
     behavior_at behavior;
-    std::deque<time_point> queue{};                           // when they came
-    std::vector<std::pair<time_point, time_point>> running{}; // came, sent
-    std::vector<time_point> ends{};                           // of those running
+    std::deque<time_point> queue{};                           // arrival times
+    std::vector<std::pair<time_point, time_point>> running{}; // arrival, sending
+    std::vector<time_point> ends{};                           // of the running statements
     response_stats answers{};
-    std::deque<server_load> published_loads{}; // one each 10 ms
+    std::deque<server_load> published_loads{}; // one per 10 ms
     std::vector<finished_read> finished{};
     std::vector<time_point> sent_at{};
 };
 
-// Choosers that hear each load so much later, and ask for reads at random moments, in steps of 1 ms.
+// Routing instances that receive each load report after a fixed delay and send reads at random times, in
+// steps of 1 ms.
 class simulated_group {
 public:
     simulated_group(std::vector<behavior_at> replicas, double reads_a_second, duration age)
@@ -91,7 +93,7 @@
         }
     }
 
-    // Share of the reads sent from `from` to `to` that this server got.
+    // Returns the share of the reads sent between `from` and `to` that this server got.
     [[nodiscard]] double share(std::size_t server, duration from, duration to) const {
         double own = 0;
         double all = 0;
@@ -105,7 +107,7 @@
         return own / std::max(all, 1.0);
     }
 
-    // Share of the reads that ended after `from`, and failed or took longer.
+    // Returns the share of the reads ended after `from` that failed or took longer than `objective`.
     [[nodiscard]] double bad_share(duration from, duration objective) const {
         double bad = 0;
         double all = 0;
@@ -139,8 +141,8 @@
             }
             const auto offset = static_cast<std::ptrdiff_t>(i);
             const auto [came, sent] = s.running[i];
-            const bool failed =
-                std::uniform_real_distribution<double>(0, 1)(random_) < s.behavior(now_ - start).failure_ratio;
+            const bool failed = std::uniform_real_distribution<double>(0, 1)(random_) <
+                                s.behavior(now_ - start).failure_ratio;
             record_outcome(s.answers, {.took = now_ - sent, .failed = failed}, now_);
             s.finished.push_back({.at = now_, .took = now_ - came, .failed = failed});
             s.running.erase(s.running.begin() + offset);
@@ -158,7 +160,7 @@
         for (std::size_t i = 0; i < servers_.size(); ++i) {
             const auto& told = servers_[i].published_loads;
             const auto received = std::find_if(told.rbegin(), told.rend(),
-                                            [&](const auto& l) { return l.as_of <= now_ - load_age_; });
+                                               [&](const auto& l) { return l.as_of <= now_ - load_age_; });
             const auto known = find_load(book, servers_[i].id, now_);
             if (received != told.rend() && (!known || known->load.as_of < received->as_of)) {
                 update_load(book, *received);
@@ -172,7 +174,7 @@
             if (s.id == d.server) {
                 s.queue.push_back(now_);
                 s.sent_at.push_back(now_);
-                note_sent(book, s.id);
+                record_sent(book, s.id);
             }
         }
     }
@@ -188,9 +190,9 @@
     std::vector<load_cache> caches_;
 };
 
-constexpr duration objective = milliseconds{200}; // of quick work
+constexpr duration objective = milliseconds{200}; // latency objective of short reads
 
-// A primary and two replicas that hold everything.
+// A primary and two replicas that are caught up.
 struct routed_group {
     group_positions positions;
     group_view view;
@@ -241,28 +243,29 @@
 // [uneven servers]
 //-----------------------------------------------------------------------------
 
-// 300 reads a second where 500 can be done, a fifth of it by a server with half the others' speed.
-TEST(uneven_servers, one_with_half_the_speed_gets_less_and_is_not_left_idle) {
+// 300 reads/s at a capacity of 500; a server with half the speed of the others provides a fifth of it.
+TEST(uneven_servers, slower_server_gets_a_smaller_share) {
     simulated_group g({always(milliseconds{20}), always(milliseconds{20}), always(milliseconds{40})}, 300,
-                     milliseconds{100});
+                      milliseconds{100});
     g.run(seconds{10});
     EXPECT_GT(g.share(2, seconds{1}, seconds{10}), 0.05);
     EXPECT_LT(g.share(2, seconds{1}, seconds{10}), 0.2);
     EXPECT_LT(g.bad_share(seconds{1}, objective), 0.01);
 }
 
-// 450 of 500: the quick ones alone do 400.
-TEST(uneven_servers, near_the_limit_the_slow_one_carries_its_part) {
+// 450 reads/s at a capacity of 500; the fast servers alone provide 400.
+TEST(uneven_servers, slow_server_is_used_near_capacity) {
     simulated_group g({always(milliseconds{20}), always(milliseconds{20}), always(milliseconds{40})}, 450,
-                     milliseconds{100});
+                      milliseconds{100});
     g.run(seconds{10});
     EXPECT_GT(g.share(2, seconds{1}, seconds{10}), 0.1);
     EXPECT_LT(g.bad_share(seconds{1}, objective), 0.02);
 }
 
-// 320 reads a second where two servers do 400. If all went where it was quiet 300 ms ago, each would get
-// nothing and then three times what it can do: 100 reads in 300 ms where 60 can be done.
-TEST(uneven_servers, seventy_choosers_that_hear_late_do_not_swing) {
+// 320 reads/s at two servers with a capacity of 400 in total. If all instances sent to the server that was
+// idle 300 ms ago, each server would alternate between no reads and about 100 reads per 300 ms, at a capacity
+// of 60.
+TEST(uneven_servers, late_reports_do_not_cause_oscillation) {
     simulated_group g({always(milliseconds{20}), always(milliseconds{20})}, 320, milliseconds{300});
     g.run(seconds{20});
     EXPECT_LT(g.bad_share(seconds{1}, objective), 0.01);
@@ -273,35 +276,48 @@
     }
 }
 
-TEST(uneven_servers, a_far_idle_one_takes_over_from_a_near_one_with_a_queue_and_only_then) {
+TEST(uneven_servers, remote_server_gets_reads_only_if_the_local_one_has_a_queue) {
     routed_group g;
     g.server("b").same_domain = false;
     g.set_load("a", {.response_time = milliseconds{20}});
     g.set_load("b", {.response_time = milliseconds{20}}, milliseconds{6});
-    EXPECT_EQ(g.share("a"), 1.0) << "nothing crosses a border for nothing";
-    g.set_load("a", {.running = 4, .waiting = 12, .response_time = milliseconds{20}, .queue_delay = milliseconds{60}});
+    EXPECT_EQ(g.share("a"), 1.0) << "no read leaves its failure domain without need";
+    g.set_load("a", {.running = 4,
+                     .waiting = 12,
+                     .response_time = milliseconds{20},
+                     .queue_delay = milliseconds{60}});
     EXPECT_GT(g.share("b"), 0.75);
 }
 
-TEST(uneven_servers, the_primary_reads_only_where_it_is_clearly_better_and_has_no_queue_of_its_own) {
+TEST(uneven_servers, primary_gets_reads_only_if_clearly_faster_and_without_queue) {
     routed_group g;
-    g.set_load("a", {.running = 4, .waiting = 20, .response_time = milliseconds{20}, .queue_delay = milliseconds{100}});
-    g.set_load("b", {.running = 4, .waiting = 20, .response_time = milliseconds{20}, .queue_delay = milliseconds{100}});
+    g.set_load("a", {.running = 4,
+                     .waiting = 20,
+                     .response_time = milliseconds{20},
+                     .queue_delay = milliseconds{100}});
+    g.set_load("b", {.running = 4,
+                     .waiting = 20,
+                     .response_time = milliseconds{20},
+                     .queue_delay = milliseconds{100}});
     g.set_load("p", {.running = 1, .response_time = milliseconds{20}});
     EXPECT_GT(g.share("p"), 0.3);
-    EXPECT_LT(g.share("p"), 0.6) << "everyone else sees it idle as well";
-    g.set_load("p", {.running = 4, .waiting = 1, .response_time = milliseconds{20}, .queue_delay = milliseconds{5}});
+    EXPECT_LT(g.share("p"), 0.6) << "all instances see the primary idle";
+    g.set_load("p", {.running = 4,
+                     .waiting = 1,
+                     .response_time = milliseconds{20},
+                     .queue_delay = milliseconds{5}});
     EXPECT_EQ(g.share("p"), 0.0);
     g.set_load("p", {.running = 1, .response_time = milliseconds{80}});
-    EXPECT_EQ(g.share("p"), 0.0) << "not clearly better";
+    EXPECT_EQ(g.share("p"), 0.0) << "not clearly faster";
 }
 
 //-----------------------------------------------------------------------------
-// [bad servers]
+// [failing servers]
 //-----------------------------------------------------------------------------
 
-// From 2 to 6 s one of two servers takes so many times as long. The other can do all of it (160 of 200).
-TEST(bad_servers, one_that_turns_slow_is_left_and_taken_back) {
+// From 2 to 6 s one of two servers is slower by this factor. The other one has the capacity for all reads
+// (160 of 200).
+TEST(failing_servers, slow_server_is_avoided_and_used_again_after_recovery) {
     for (const int times : {4, 8}) {
         const behavior_at slow = [times](duration at) {
             const bool now_slow = at >= seconds{2} && at < seconds{6};
@@ -314,7 +330,7 @@
     }
 }
 
-TEST(bad_servers, one_that_fails_a_third_with_good_health_is_left_and_taken_back_slowly) {
+TEST(failing_servers, partly_failing_server_is_avoided_and_regains_its_share_slowly) {
     const behavior_at failing = [](duration at) {
         return server_behavior{.failure_ratio = at >= seconds{2} && at < seconds{6} ? 0.33 : 0.0};
     };
@@ -325,9 +341,9 @@
     EXPECT_GT(g.share(0, seconds{15}, seconds{20}), 0.35);
 }
 
-// Well for a second and failing everything for the next, over and over: taken back at once each time, it
-// would fail a quarter of all reads.
-TEST(bad_servers, one_that_flaps_stays_out) {
+// The server alternates between one second without failures and one second in which all statements fail. If
+// it were used again at once each time, a quarter of all reads would fail.
+TEST(failing_servers, flapping_server_stays_excluded) {
     const behavior_at flapping = [](duration at) {
         return server_behavior{.failure_ratio = (at / seconds{1}) % 2 == 1 ? 1.0 : 0.0};
     };
@@ -336,8 +352,8 @@
     EXPECT_LT(g.bad_share(seconds{2}, objective), 0.03);
 }
 
-// The users' answers are good; only what else is heard of it is not.
-TEST(bad_servers, one_that_answers_well_stays_whatever_its_health_answers_say) {
+// The statements succeed; only the health probes and the local ejection state report the server as bad.
+TEST(failing_servers, reported_load_overrides_local_health) {
     routed_group g;
     server_view& a = g.server("a");
     a.unresponsive = true;
@@ -348,26 +364,32 @@
     EXPECT_GT(g.share("a"), 0.4);
 }
 
-TEST(bad_servers, of_several_bad_ones_the_least_bad_stays_in_use) {
+TEST(failing_servers, least_failing_server_stays_in_use) {
     routed_group g;
     g.set_load("a", {.response_time = milliseconds{20}, .failure_ratio = 0.9});
     g.set_load("b", {.response_time = milliseconds{20}, .failure_ratio = 0.3});
-    g.set_load("p", {.running = 4, .waiting = 3, .response_time = milliseconds{20}, .queue_delay = milliseconds{15}});
+    g.set_load("p", {.running = 4,
+                     .waiting = 3,
+                     .response_time = milliseconds{20},
+                     .queue_delay = milliseconds{15}});
     EXPECT_GT(g.share("b"), 0.7);
     EXPECT_EQ(g.share("p"), 0.0);
 }
 
-// Nobody reaches either replica: whatever is sent there comes back, and late.
-TEST(bad_servers, replicas_that_answer_nobody_leave_their_reads_to_the_primary_however_busy) {
+// No instance reaches either replica: every read sent there fails, and late.
+TEST(failing_servers, busy_primary_serves_reads_if_all_replicas_fail) {
     routed_group g;
     g.set_load("a", {.response_time = milliseconds{20}, .failure_ratio = 1});
     g.set_load("b", {.response_time = milliseconds{20}, .failure_ratio = 1});
-    g.set_load("p", {.running = 4, .waiting = 3, .response_time = milliseconds{20}, .queue_delay = milliseconds{15}});
+    g.set_load("p", {.running = 4,
+                     .waiting = 3,
+                     .response_time = milliseconds{20},
+                     .queue_delay = milliseconds{15}});
     EXPECT_GT(g.share("p"), 0.9);
-    EXPECT_LT(g.share("p"), 1.0) << "or nobody would see them come back";
+    EXPECT_LT(g.share("p"), 1.0) << "trial reads detect a recovery";
 }
 
-TEST(bad_servers, one_users_bad_luck_ejects_nobody) {
+TEST(failing_servers, single_failure_has_little_effect) {
     response_stats a;
     time_point at = start;
     for (int i = 0; i < 100; ++i) {
@@ -386,19 +408,19 @@
 // [idle servers]
 //-----------------------------------------------------------------------------
 
-// The pattern: both replicas of a group idle while their primary has a queue. Each instance has ejected them
-// for failures of the way there.
-TEST(idle_servers, ejected_replicas_do_not_leave_everything_to_the_primary) {
+// Guards against idle replicas while their primary has a queue: every instance had ejected both replicas
+// after network failures.
+TEST(idle_servers, ejected_replica_is_preferred_to_the_primary) {
     routed_group g;
     g.server("a").ejected_until = start + seconds{8};
     g.server("b").ejected_until = start + seconds{4};
-    EXPECT_EQ(g.share("b"), 1.0) << "the one that comes back first";
-    g.server("b").latency = seconds{2}; // with what is left of the penalty for its failures
-    EXPECT_EQ(g.share("p"), 1.0) << "its last failures are a moment ago";
+    EXPECT_EQ(g.share("b"), 1.0) << "the replica whose ejection ends first";
+    g.server("b").latency = seconds{2}; // including the remaining failure penalty
+    EXPECT_EQ(g.share("p"), 1.0) << "the replica has just failed";
 }
 
-// What an instance learned of a replica while that was slow stays, as long as nothing is sent there.
-TEST(idle_servers, a_replica_that_was_slow_once_is_tried_again) {
+// The latency recorded while a replica was slow does not change as long as no request is sent to it.
+TEST(idle_servers, slow_replica_is_tried_again) {
     routed_group g;
     g.server("a").latency = milliseconds{400};
     g.server("b").latency = milliseconds{400};
@@ -408,7 +430,7 @@
     EXPECT_EQ(g.share("p"), 0.0);
 }
 
-TEST(idle_servers, a_load_of_a_server_that_nobody_asks_fades_to_its_quick_times) {
+TEST(idle_servers, response_time_decays_without_requests) {
     response_stats a;
     time_point at = start;
     const auto answer = [&](duration took, int times) {
@@ -423,8 +445,8 @@
     EXPECT_LT(current_response_time(a, at + seconds{2}), milliseconds{60});
 }
 
-// An observer that is not answered itself tells the same old sample over and over.
-TEST(idle_servers, a_position_that_is_told_again_is_no_news) {
+// An observer that gets no answer itself reports the same old sample repeatedly.
+TEST(idle_servers, repeated_position_sample_expires) {
     group_positions p;
     for (int i = 0; i < 300; ++i) {
         add_primary_sample(p, 1,
@@ -440,10 +462,10 @@
     for (int i = 0; i < 10; ++i) {
         add_server_sample(p, {"a"}, old, now - milliseconds{10 * i});
     }
-    EXPECT_TRUE(likely_has_position(p, {"a"}, 1, 290, now, trust)) << "it is asked again";
+    EXPECT_TRUE(likely_has_position(p, {"a"}, 1, 290, now, trust)) << "the replica is queried again";
 }
 
-TEST(idle_servers, the_lag_of_a_position_that_was_told_late_is_not_that_of_the_telling) {
+TEST(idle_servers, lag_excludes_the_delay_of_the_report) {
     group_positions p;
     for (int i = 0; i < 300; ++i) {
         add_primary_sample(p, 1,
@@ -451,24 +473,27 @@
                             .timeline = 1,
                             .position = static_cast<log_position>(i)});
     }
-    // At 2.7 s it stood where the primary was at 2.65 s; that is heard at 3 s.
+    // At 2.7 s the replica had the primary's position of 2.65 s; the report arrives at 3 s.
     add_server_sample(p, {"a"}, {.not_before = start + milliseconds{2700}, .timeline = 1, .position = 265},
                       start + milliseconds{2710});
     EXPECT_TRUE(likely_has_position(p, {"a"}, 1, 290, start + seconds{3}, seconds{1}));
 }
 
-// 400 reads a second at the primary, since both replicas are known to be behind; then one has caught up.
-// Whoever asks it tells all others with the next exchange, 50 ms later.
-TEST(idle_servers, a_replica_takes_reads_soon_after_its_log_is_far_enough) {
+// 400 reads/s go to the primary because both replicas are known to be behind; then one has caught up. The
+// instance that queries it reports the position to all others in the next exchange, 50 ms later.
+TEST(idle_servers, replica_gets_reads_soon_after_catching_up) {
     std::vector<duration> found;
     for (int seed = 1; seed <= 40; ++seed) {
         routed_group g;
         g.random.seed(static_cast<std::uint64_t>(seed));
-        g.set_load("p", {.running = 4, .waiting = 4, .response_time = milliseconds{20}, .queue_delay = milliseconds{20}});
+        g.set_load("p", {.running = 4,
+                         .waiting = 4,
+                         .response_time = milliseconds{20},
+                         .queue_delay = milliseconds{20}});
         add_primary_sample(g.positions, 1,
                            {.not_before = start + milliseconds{1}, .timeline = 1, .position = 20});
         g.session.written = session_token{.group = {"g"}, .term = 1, .position = 20};
-        for (const char* id : {"a", "b"}) { // far behind: it has been so for long
+        for (const char* id : {"a", "b"}) { // a large lag for a long time
             g.set_load(id, {.response_time = milliseconds{20}});
             g.positions.servers[{id}].lag = seconds{10};
         }
@@ -492,7 +517,7 @@
             ++vain;
             g.positions.servers[d.server].newest.not_before = g.wish.now;
         }
-        EXPECT_LT(vain, 16) << "a tenth of 80 reads, and as many again for chance";
+        EXPECT_LT(vain, 16) << "a tenth of 80 reads, doubled as a margin for chance";
         found.push_back(at - milliseconds{200} + milliseconds{50});
     }
     std::sort(found.begin(), found.end());
@@ -504,14 +529,14 @@
 // [loads]
 //-----------------------------------------------------------------------------
 
-TEST(loads, are_forgotten_and_bounded_and_an_older_one_replaces_no_newer) {
+TEST(loads, expire_are_bounded_and_are_replaced_by_newer_only) {
     load_cache b;
     EXPECT_TRUE(update_load(b, {.server = {"a"}, .running = 3, .as_of = start}));
     EXPECT_FALSE(update_load(b, {.server = {"a"}, .running = 1, .as_of = start - milliseconds{1}}));
-    note_sent(b, {"a"});
+    record_sent(b, {"a"});
     EXPECT_EQ(find_load(b, {"a"}, start)->sent_since, 1U);
     EXPECT_TRUE(update_load(b, {.server = {"a"}, .running = 4, .as_of = start + milliseconds{1}}));
-    EXPECT_EQ(find_load(b, {"a"}, start)->sent_since, 0U) << "counted there";
+    EXPECT_EQ(find_load(b, {"a"}, start)->sent_since, 0U) << "included in the new report";
     EXPECT_FALSE(find_load(b, {"a"}, start + seconds{1}));
     for (std::size_t i = 0; i < 2 * max_known_loads; ++i) {
         update_load(b, {.server = {std::to_string(i)}, .as_of = start + milliseconds{2}});
@@ -523,15 +548,15 @@
     EXPECT_TRUE(b.loads.empty());
 }
 
-TEST(loads, where_none_is_told_the_choice_is_by_this_instances_own_answers) {
+TEST(loads, local_latency_is_used_without_reports) {
     routed_group g;
     g.server("b").latency = milliseconds{40};
     EXPECT_GT(g.share("a"), 0.7);
     g.server("a").same_domain = false;
-    EXPECT_GT(g.share("b"), 0.9) << "the other failure domain counts twice";
+    EXPECT_GT(g.share("b"), 0.9) << "latency of another failure domain counts twice";
 }
 
-TEST(loads, what_this_instance_sent_since_counts) {
+TEST(loads, requests_sent_since_the_report_count) {
     known_load k{.load = {.slots = 4, .running = 3, .response_time = milliseconds{20}}};
     EXPECT_TRUE(has_free_slot(k));
     const duration before = expected_completion(k);
@@ -540,7 +565,7 @@
     EXPECT_EQ(expected_completion(k), before + milliseconds{20});
 }
 
-TEST(loads, small_changes_are_not_worth_telling) {
+TEST(loads, small_changes_are_not_significant) {
     const server_load told{.running = 4, .waiting = 8, .response_time = milliseconds{20}};
     server_load now = told;
     now.waiting = 9;
@@ -553,11 +578,11 @@
 }
 
 //-----------------------------------------------------------------------------
-// [lenders]
+// [forwarding peers]
 //-----------------------------------------------------------------------------
 
-// An instance that runs at a fifth of its usual speed holds each answer up by tens of milliseconds.
-TEST(slow_lenders, are_told_from_far_ones_by_what_they_add) {
+// An instance at a fifth of its normal speed delays each answer by tens of milliseconds.
+TEST(slow_peers, are_distinguished_from_remote_ones_by_their_delay) {
     lender_tracker b;
     for (int i = 0; i < 20; ++i) {
         record_round_trip_delay(b, "near", milliseconds{1});
@@ -571,7 +596,7 @@
     for (int i = 0; i < 40; ++i) {
         record_round_trip_delay(b, "slow", milliseconds{2});
     }
-    EXPECT_FALSE(is_slow(b, "slow")) << "it has recovered";
+    EXPECT_FALSE(is_slow(b, "slow")) << "the peer has recovered";
 }
 
 } // namespace
--- a/tests/lenders_test.cpp
+++ b/tests/lenders_test.cpp
@@ -1,4 +1,4 @@
-// Whom an instance asks for a connection that it does not have.
+// Selection of forwarding peers by an instance without a connection to the backend server.
 #include "core/lenders.hpp"
 
 #include <gtest/gtest.h>
@@ -13,7 +13,7 @@
 
 const server_id server{"s1"};
 const std::vector<lender> candidates{{"a1", false}, {"a2", false}, {"b1", true}, {"b2", true},
-                                {"c1", true},  {"c2", true},  {"c3", true}};
+                                     {"c1", true},  {"c2", true},  {"c3", true}};
 
 struct lender_selection {
     lender_tracker tracker;
@@ -22,11 +22,11 @@
     std::vector<std::string> order() { return order_lenders(tracker, server, candidates, now, random); }
 };
 
-TEST(lenders, near_ones_come_first_and_silent_ones_last) {
+TEST(forwarding_peers, local_peers_come_first_and_silent_ones_last) {
     lender_selection a;
     mark_silent(a.tracker, "a1", a.now);
     EXPECT_EQ(a.order().front(), "a2");
-    EXPECT_EQ(a.order().back(), "a1") << "before far ones, once it is heard again";
+    EXPECT_EQ(a.order().back(), "a1") << "a silent peer comes last";
     EXPECT_TRUE(mark_responsive(a.tracker, "a1"));
     EXPECT_FALSE(mark_responsive(a.tracker, "a1"));
     EXPECT_TRUE(a.order()[0] == "a1" || a.order()[1] == "a1");
@@ -34,8 +34,8 @@
     EXPECT_EQ(a.order().front(), "c2");
 }
 
-// The pattern: 400 requests in a second, and one of seven instances has a connection to the server.
-TEST(lenders, the_one_that_has_a_connection_is_found_with_few_questions) {
+// 400 requests in a second while one of seven instances has a connection to the server.
+TEST(forwarding_peers, peer_with_a_connection_is_found_with_few_requests) {
     lender_selection a;
     unsigned questions = 0;
     unsigned served = 0;
@@ -55,7 +55,7 @@
     EXPECT_LE(questions, 400U + 7U);
 }
 
-TEST(lenders, where_nobody_has_one_each_request_asks_one_and_each_lender_is_asked_now_and_then) {
+TEST(forwarding_peers, one_peer_is_tried_per_request_if_none_has_a_connection) {
     lender_selection a;
     unsigned questions = 0;
     std::set<std::string> asked;
@@ -67,36 +67,38 @@
             mark_without_connection(a.tracker, server, address, a.now);
         }
     }
-    EXPECT_LE(questions, 480U) << "five for each request before";
+    EXPECT_LE(questions, 480U) << "about one per request, not five";
     EXPECT_EQ(asked.size(), candidates.size());
 }
 
-// A cut between this instance and a lender, for seconds: questions stay open until their deadlines.
-TEST(lenders, behind_a_cut_cost_the_requests_of_a_quarter_of_a_second_only) {
+// A network partition of seconds between this instance and a peer: requests stay unanswered until their
+// deadlines.
+TEST(forwarding_peers, partitioned_peer_is_silent_until_it_answers_a_ping) {
     lender_tracker b;
     time_point at{std::chrono::seconds{10}};
     const std::string lost = "10.0.0.1:1";
     record_request(b, lost, at);
     at += reachability_timeout / 2;
-    EXPECT_TRUE(take_due_pings(b, at).empty()) << "a usual answer may take so long";
+    EXPECT_TRUE(take_due_pings(b, at).empty()) << "a normal answer may take this long";
     at += reachability_timeout;
     EXPECT_EQ(take_due_pings(b, at), std::vector<std::string>{lost});
     EXPECT_TRUE(is_silent(b, lost, at));
     for (int i = 0; i < 100; ++i) {
         at += std::chrono::milliseconds{50};
         take_due_pings(b, at);
-        EXPECT_TRUE(is_silent(b, lost, at)) << "as long as no ping is answered";
+        EXPECT_TRUE(is_silent(b, lost, at)) << "the peer stays silent until it answers a ping";
     }
     EXPECT_TRUE(mark_responsive(b, lost));
     EXPECT_FALSE(is_silent(b, lost, at));
     EXPECT_TRUE(take_due_pings(b, at + std::chrono::seconds{1}).empty());
 }
 
-TEST(lenders, are_asked_in_the_order_of_their_ranks_where_they_have_some) {
+TEST(forwarding_peers, are_ordered_by_rank) {
     lender_tracker b;
     std::mt19937_64 random(1);
-    const std::vector<lender> homes{
-        {.address = "a", .rank = 7}, {.address = "b", .rank = 3}, {.address = "c", .in_other_domain = true, .rank = 1}};
+    const std::vector<lender> homes{{.address = "a", .rank = 7},
+                                    {.address = "b", .rank = 3},
+                                    {.address = "c", .in_other_domain = true, .rank = 1}};
     const time_point at{std::chrono::seconds{10}};
     for (int i = 0; i < 20; ++i) {
         EXPECT_EQ(order_lenders(b, {"s"}, homes, at, random), (std::vector<std::string>{"b", "a", "c"}));
--- a/tests/ordering_test.cpp
+++ b/tests/ordering_test.cpp
@@ -1,7 +1,7 @@
-// One instance orders all statements for a server: which one that is, and how many statements it lets run.
+// Selection of the ordering home of a backend server, and its limit on concurrent statements.
 //
 // Index
-//   [the list]  [slots]  [places]  [several services]  [the crest of demand]
+//   [order of homes]  [slots]  [permits]  [several services]  [peak demand]
 #include "core/control_core.hpp"
 #include "core/home_order.hpp"
 #include "core/pool.hpp"
@@ -23,7 +23,7 @@
 using std::chrono::seconds;
 
 //-----------------------------------------------------------------------------
-// [the list]
+// [order of homes]
 //-----------------------------------------------------------------------------
 
 constexpr unsigned few_connections = 46;
@@ -60,7 +60,7 @@
     }
 };
 
-TEST(order_homes, names_all_that_take_callers_and_those_beside_the_server_first) {
+TEST(order_homes, lists_all_client_facing_instances_and_the_servers_domain_first) {
     test_cluster s(70, 24);
     s.state.instances.at({"e3"}).accepts_clients = false;
     for (const auto& [id, server] : s.state.servers) {
@@ -70,27 +70,27 @@
         bool far = false;
         for (const instance_id& home : homes) {
             const bool is_far = s.state.instances.at(home).domain != server.domain;
-            EXPECT_FALSE(far && !is_far) << home.value << " stands behind one of another domain";
+            EXPECT_FALSE(far && !is_far) << home.value << " is listed after an instance of another domain";
             far = is_far;
         }
     }
 }
 
-TEST(order_homes, is_the_same_whatever_else_an_instance_knows) {
+TEST(order_homes, is_independent_of_insertion_order_and_other_state) {
     test_cluster a(70, 24);
     test_cluster b(0, 24);
     for (int i = 69; i >= 0; --i) {
         b.add_instance(i);
     }
     b.state.revision = 77;
-    b.state.servers.at({"s3"}).start_time_ms = 5; // a new start, which moves nothing
+    b.state.servers.at({"s3"}).start_time_ms = 5; // a restart must not move any server
     for (const auto& [id, server] : a.state.servers) {
         EXPECT_EQ(order_homes(a.state, id, few_connections), order_homes(b.state, id, few_connections));
     }
 }
 
-// The pattern: chance alone gives some instances two or three of the first places and most of them none, and
-// each place is the load of a whole server.
+// Guards against uneven first places: plain hashing gives some instances two or three of them and most
+// instances none, and each place carries the load of a whole server.
 TEST(order_homes, spreads_the_first_places_evenly) {
     for (const auto& [instances, servers] : {std::pair{70, 24}, {9, 24}, {30, 24}, {4, 24}, {300, 90}}) {
         const test_cluster s(instances, servers);
@@ -109,8 +109,8 @@
     }
 }
 
-// Each move costs a server's connections, which are opened anew.
-TEST(order_homes, moves_few_servers_when_an_instance_comes_or_goes) {
+// Each move of a server requires its connections to be reopened.
+TEST(order_homes, moves_few_servers_when_an_instance_is_removed) {
     const test_cluster whole(70, 24);
     const auto before = whole.first_homes();
     std::size_t moved_in_all = 0;
@@ -125,13 +125,13 @@
             had_to_move += first.value == "e" + std::to_string(i) ? 1 : 0;
         }
         EXPECT_LE(moved, had_to_move + 2) << "e" << i;
-        EXPECT_TRUE(had_to_move > 0 || moved == 0) << "e" << i << " was first for nobody";
+        EXPECT_TRUE(had_to_move > 0 || moved == 0) << "e" << i << " was first for no server";
         moved_in_all += moved;
     }
-    EXPECT_LE(moved_in_all, 36U) << "24 must move, once each";
+    EXPECT_LE(moved_in_all, 36U) << "24 servers must move once each";
 }
 
-TEST(order_homes, is_empty_where_everybody_holds_connections_and_for_an_unknown_server) {
+TEST(order_homes, is_empty_if_all_instances_hold_connections_or_the_server_is_unknown) {
     const test_cluster s(70, 24);
     EXPECT_TRUE(order_homes(s.state, {"s1"}, 140).empty());
     EXPECT_FALSE(order_homes(s.state, {"s1"}, 139).empty());
@@ -140,7 +140,7 @@
     EXPECT_TRUE(order_homes(alone.state, {"s0"}, 0).empty());
 }
 
-TEST(order_homes, begins_elsewhere_where_nobody_beside_the_server_takes_callers) {
+TEST(order_homes, uses_other_domains_if_the_servers_domain_has_no_client_facing_instance) {
     test_cluster s(9, 3);
     for (auto& [id, instance] : s.state.instances) {
         instance.accepts_clients = instance.domain.value != "z0";
@@ -152,7 +152,7 @@
 // [slots]
 //-----------------------------------------------------------------------------
 
-// Control alone, whose commands apply as soon as proposed.
+// The control core alone; proposed commands are applied immediately.
 struct announcing_server {
     control_state control;
     cluster_state cluster;
@@ -186,24 +186,24 @@
     [[nodiscard]] unsigned agreed_slots() const { return cluster.servers.at({"s1"}).slots; }
 };
 
-TEST(slots, are_agreed_and_follow_what_a_server_tells) {
+TEST(slots, follow_the_servers_announcements) {
     announcing_server s;
     s.announce(4, 10);
     EXPECT_EQ(s.agreed_slots(), 4U);
     const revision_number before = s.cluster.revision;
     s.announce(4, 10);
-    EXPECT_EQ(s.cluster.revision, before) << "nothing new";
+    EXPECT_EQ(s.cluster.revision, before) << "an unchanged announcement changes nothing";
     s.announce(6, 10);
-    EXPECT_EQ(s.agreed_slots(), 6U) << "a changed number is a changed record";
+    EXPECT_EQ(s.agreed_slots(), 6U) << "a changed slot count changes the record";
     s.announce(0, 10);
-    EXPECT_EQ(s.agreed_slots(), 6U) << "told once, it goes on to hold for this start";
+    EXPECT_EQ(s.agreed_slots(), 6U) << "an announced count is kept until the server restarts";
     s.announce(0, 20);
-    EXPECT_EQ(s.agreed_slots(), 0U) << "another start told nothing";
+    EXPECT_EQ(s.agreed_slots(), 0U) << "a restarted server has announced no count";
     s.announce(5, 20);
     EXPECT_EQ(s.agreed_slots(), 5U);
 }
 
-TEST(slots, are_kept_by_what_passes_between_instances) {
+TEST(slots, survive_encoding) {
     cluster_state s;
     s.servers[{"s1"}] = {.id = {"s1"}, .group = {"g"}, .host = "10.1.0.1", .port = 1, .domain = {"z"}};
     s.servers.at({"s1"}).slots = 7;
@@ -213,7 +213,7 @@
 }
 
 //-----------------------------------------------------------------------------
-// [places]
+// [permits]
 //-----------------------------------------------------------------------------
 
 constexpr unsigned slots = 4;
@@ -222,16 +222,16 @@
     connection_number connection = 0;
     duration length{0};
     bool is_opening = false;
-    time_point ends{}; // 0: waits at the server
+    time_point ends{}; // 0 = queued at the server
 };
 
 struct transaction {
     unsigned statements_left = 0; // after the first one
-    duration pause{0};             // before each
+    duration pause{0};            // before each statement
 };
 
-// A pool and its server, in virtual time. The server runs `slots` statements or openings at once and the rest
-// in the order of arrival.
+// A pool and its server, in virtual time. The server runs `slots` statements or connection setups
+// concurrently and queues the rest in the order of arrival.
 struct simulated_pool {
     pool_state p;
     time_point now{seconds{1}};
@@ -239,8 +239,8 @@
     request_number next_request = 1;
     std::vector<server_work> at_server; // in the order of arrival
     std::map<request_number, duration> lengths;
-    std::map<request_number, transaction> transactions; // asked for
-    std::map<connection_number, transaction> open;      // under way
+    std::map<request_number, transaction> transactions; // requested
+    std::map<connection_number, transaction> open;      // in progress
     std::map<connection_number, request_class> classes;
     std::map<connection_number, time_point> given;
     std::map<connection_number, time_point> next_statement_at;
@@ -276,7 +276,7 @@
             }
         }
     }
-    // New work, for which there must be a place.
+    // Starts new work, for which a permit must be free.
     void begin(const server_work& w) {
         if (p.limit.permits > 0) {
             EXPECT_LT(at_server.size(), p.limit.permits);
@@ -327,7 +327,7 @@
         }
         carry_out(actions);
     }
-    // One millisecond passes.
+    // Advances the virtual time by one millisecond.
     void step() {
         now += milliseconds{1};
         std::vector<server_work> done;
@@ -336,7 +336,8 @@
                 done.push_back(w);
             }
         }
-        std::erase_if(at_server, [&](const server_work& w) { return w.ends != time_point{} && w.ends <= now; });
+        std::erase_if(at_server,
+                      [&](const server_work& w) { return w.ends != time_point{} && w.ends <= now; });
         start_work();
         for (const server_work& w : done) {
             finish(w);
@@ -364,20 +365,20 @@
     }
 };
 
-TEST(places, are_as_many_as_slots_and_one_and_openings_take_one) {
+TEST(permits, limit_concurrency_to_slots_plus_one_including_new_connections) {
     simulated_pool s(slots + 1);
     for (int i = 0; i < 60; ++i) {
         s.ask(request_class::normal, milliseconds{20});
     }
-    EXPECT_EQ(s.at_server.size(), slots + 1) << "openings";
+    EXPECT_EQ(s.at_server.size(), slots + 1) << "connection setups";
     s.run(milliseconds{600});
     EXPECT_EQ(s.most_at_once, slots + 1);
     EXPECT_EQ(s.used.size(), 60U);
     EXPECT_TRUE(s.refused.empty());
-    EXPECT_LE(open_count(s.p), slots + 2) << "more would never be used at once";
+    EXPECT_LE(open_count(s.p), slots + 2) << "more connections would never be used concurrently";
 }
 
-TEST(places, of_a_standby_are_one) {
+TEST(permits, standby_has_one) {
     simulated_pool s(1);
     for (int i = 0; i < 5; ++i) {
         s.ask(request_class::normal, milliseconds{20});
@@ -387,8 +388,8 @@
     EXPECT_EQ(s.used.size(), 5U);
 }
 
-// A transaction that waited behind new work would hold its locks meanwhile.
-TEST(places, are_never_needed_by_a_transaction_that_is_under_way) {
+// A transaction that waited behind new work would hold its locks for that time.
+TEST(permits, open_transaction_does_not_wait_for_one) {
     simulated_pool s(slots + 1);
     s.ask(request_class::background, milliseconds{8}, "", {.statements_left = 3, .pause = milliseconds{5}});
     s.run(milliseconds{21});
@@ -404,32 +405,33 @@
         return std::any_of(s.at_server.begin(), s.at_server.end(),
                            [&](const auto& w) { return w.connection == c; });
     };
-    EXPECT_TRUE(sent()) << "at once, though fifty wait";
-    EXPECT_LE(s.at_server.size(), slots + 2) << "it counts with the others from then on";
+    EXPECT_TRUE(sent()) << "sent immediately, although fifty requests wait";
+    EXPECT_LE(s.at_server.size(), slots + 2) << "the statement counts towards the limit";
     s.run(milliseconds{300});
     EXPECT_EQ(s.used.size(), 51U);
 }
 
-TEST(places, are_not_held_by_transactions_that_rest) {
+TEST(permits, are_not_held_by_idle_transactions) {
     simulated_pool s(slots + 1);
     for (int i = 0; i < 8; ++i) {
         s.ask(request_class::normal, milliseconds{8}, "", {.statements_left = 1, .pause = seconds{30}});
     }
     s.run(milliseconds{200});
-    EXPECT_EQ(s.open.size(), 8U) << "all rest";
+    EXPECT_EQ(s.open.size(), 8U) << "all transactions are idle";
     const request_number r = s.ask(request_class::normal, milliseconds{8});
     s.run(milliseconds{20});
     EXPECT_NE(std::find(s.used.begin(), s.used.end(), r), s.used.end());
 }
 
-// Whoever needs an opening is not passed over for ever by those whose connections are open.
-TEST(places, are_kept_for_a_workspace_that_has_no_connection) {
+// Guards against starvation of a request that needs a new connection by requests whose connections are open.
+TEST(permits, are_reserved_for_a_workspace_without_connection) {
     simulated_pool s(slots + 1);
     for (int i = 0; i < 40; ++i) {
         s.ask(request_class::normal, milliseconds{10}, "large");
     }
     s.run(milliseconds{60});
-    const auto turn = waiting_count(s.p) * 10 / slots; // of those before it, in the order of arrival
+    const auto turn =
+        waiting_count(s.p) * 10 / slots; // ms until the requests ahead have run, in the order of arrival
     const request_number small = s.ask(request_class::normal, milliseconds{10}, "small");
     unsigned passed = 0;
     while (std::find(s.used.begin(), s.used.end(), small) == s.used.end() && passed < 200) {
@@ -439,11 +441,11 @@
             s.ask(request_class::normal, milliseconds{10}, "large");
         }
     }
-    EXPECT_LE(passed, turn + 27U) << "15 ms for the place, 12 for the opening";
+    EXPECT_LE(passed, turn + 27U) << "15 ms for the permit, 12 ms for the connection setup";
 }
 
-// What a lower number, or none, does to the work that is there.
-TEST(places, may_be_taken_away_and_given_while_work_runs) {
+// Lowers and raises the permits while statements are queued and running.
+TEST(permits, can_be_reduced_and_raised_under_load) {
     simulated_pool s(0);
     for (int i = 0; i < 20; ++i) {
         s.ask(request_class::normal, milliseconds{20});
@@ -452,8 +454,8 @@
     pool_actions actions;
     set_permits(s.p, 1, 0, s.now, s.next, actions);
     s.carry_out(actions);
-    s.run(milliseconds{20 * 12 / slots + 20 * 20 + 10}); // openings, then statements
-    EXPECT_EQ(s.used.size(), 20U) << "one after the other, once the first ones are done";
+    s.run(milliseconds{20 * 12 / slots + 20 * 20 + 10}); // connection setups, then statements
+    EXPECT_EQ(s.used.size(), 20U) << "one at a time, after the first ones have ended";
     for (int i = 0; i < 20; ++i) {
         s.ask(request_class::normal, milliseconds{20});
     }
@@ -467,7 +469,7 @@
     const std::size_t at_server = s.at_server.size();
     s.carry_out(actions);
     s.run(milliseconds{400});
-    EXPECT_EQ(running_count(s.p), 0U) << "another pool of the server has all of them";
+    EXPECT_EQ(running_count(s.p), 0U) << "another pool of the server holds all permits";
     EXPECT_LE(s.at_server.size(), at_server);
 }
 
@@ -475,7 +477,7 @@
 // [several services]
 //-----------------------------------------------------------------------------
 
-// Connections that open at once and run nothing by themselves.
+// Returns a driver whose connections open immediately and run nothing.
 backend_driver make_idle_driver() {
     backend_driver driver;
     driver.make_connection = [](const server_record&, const service_id&, const workspace_id&) {
@@ -523,7 +525,7 @@
     }
 };
 
-TEST(several_services, of_one_server_have_its_places_together_in_turn) {
+TEST(several_services, share_the_permits_of_one_server_in_turn) {
     two_services s;
     for (int i = 0; i < 30; ++i) {
         s.ask(s.a);
@@ -532,12 +534,12 @@
     for (int i = 0; i < 10; ++i) {
         s.ask(s.b);
     }
-    EXPECT_EQ(s.running.size(), 3U) << "one server's places";
+    EXPECT_EQ(s.running.size(), 3U) << "the permits belong to the server";
     for (int i = 0; i < 20; ++i) {
         s.finish_oldest();
-        EXPECT_EQ(s.running.size(), 3U) << "none is idle while anything waits";
+        EXPECT_EQ(s.running.size(), 3U) << "no permit is idle while a request waits";
     }
-    EXPECT_EQ(s.served[s.b], 10U) << "in turn with the other service's, though that one asked for more";
+    EXPECT_EQ(s.served[s.b], 10U) << "in turn with the other service, which has more requests";
     while (!s.running.empty()) {
         s.finish_oldest();
     }
@@ -545,24 +547,24 @@
 }
 
 //-----------------------------------------------------------------------------
-// [the crest of demand]
+// [peak demand]
 //-----------------------------------------------------------------------------
 
-// The pattern: a wave of demand that exceeds what the server does for seconds. Short urgent statements, long
-// patient ones, and transactions that rest between their statements; thirty workspaces that each have their
-// own connections.
-TEST(crest, leaves_no_slot_idle_and_lets_urgent_work_through) {
+// Demand exceeds the capacity of the server for seconds, with short urgent statements, long normal statements
+// and transactions that are idle between their statements, from thirty workspaces with their own connections
+// each.
+TEST(peak_demand, leaves_no_slot_idle_and_prioritizes_urgent_statements) {
     for (const std::uint64_t seed : {1U, 2U, 3U}) {
         std::mt19937_64 random(seed);
         const auto number = [&random](unsigned below) { return static_cast<unsigned>(random() % below); };
         simulated_pool s(slots + 1);
         duration idle{0};
         duration counted{0};
-        std::map<request_number, time_point> asked; // urgent ones
+        std::map<request_number, time_point> asked; // urgent requests
         std::vector<duration> urgent_waits;
         for (int ms = 0; ms < 12'000; ++ms) {
             const bool crest = ms > 3'000 && ms < 9'000;
-            const unsigned rate = crest ? 420 : 200; // a second; the server does some 300
+            const unsigned rate = crest ? 420 : 200; // per second; the server's capacity is about 300
             if (number(1000) < rate) {
                 const std::string workspace = "w" + std::to_string(number(30));
                 const unsigned kind = number(10);
@@ -593,10 +595,10 @@
                 counted += milliseconds{1} * slots;
             }
         }
-        ASSERT_GT(counted, seconds{8}) << "the crest must be one";
+        ASSERT_GT(counted, seconds{8}) << "demand must exceed the capacity";
         EXPECT_LT(idle * 50, counted)
             << "seed " << seed << ": idle " << idle.count() << " of " << counted.count();
-        EXPECT_LE(s.most_at_once, slots + 1 + 6) << "six transactions' statements beyond, at most";
+        EXPECT_LE(s.most_at_once, slots + 1 + 6) << "at most six more, for statements of open transactions";
         EXPECT_GT(s.p.usage.waited, duration{0});
         std::sort(urgent_waits.begin(), urgent_waits.end());
         EXPECT_LT(urgent_waits.at(urgent_waits.size() * 9 / 10), milliseconds{60}) << "seed " << seed;
