--- a/src/core/admission.hpp
+++ b/src/core/admission.hpp
@@ -1,7 +1,7 @@
-// Who may open a session, and whose it is.
+// Authorization of sessions by key, and their workspace.
 //
-// A key that is not in the table may be a new one, as long as the table is not known to be the newest: then
-// the caller is asked to come back, and is neither refused for good nor let in.
+// A key that the table lacks may be new, unless the table is known to be current. In this case the caller is
+// asked to retry, and is neither rejected permanently nor admitted.
 #pragma once
 
 #include "core/cluster_state.hpp"
@@ -12,17 +12,18 @@
 
 enum class admission_verdict : std::uint8_t {
     admitted,
-    refused,   // the newest table holds no such key
-    undetermined, // the table may be old
+    refused,      // the current table has no such key
+    undetermined, // the table may be stale
 };
 
 struct admission {
     admission_verdict verdict = admission_verdict::refused;
-    workspace_id workspace; // empty where the table names none, or the route is public and the key unknown
+    workspace_id workspace; // empty = no workspaces in the table, or public route and unknown key
     auto operator<=>(const admission&) const = default;
 };
 
-// `key_digest` is of what the caller showed. Asked anew for each transaction: a key may be taken away.
+// Checks a session's key, given as digest. Callers repeat the check for each transaction, since a key may be
+// revoked.
 admission admit(const table& t, const route_entry& route, const std::string& key_digest,
                 bool table_is_current);
 
--- a/src/core/pool.cpp
+++ b/src/core/pool.cpp
@@ -7,15 +7,17 @@
 namespace {
 
 constexpr duration open_retry_backoff = std::chrono::milliseconds{50};
-// Servers count lost connections for seconds (3 s on the users' platform), and each attempt costs them work.
-constexpr unsigned max_backoff_steps = 4; // of open_retry_backoff
+// Maximum backoff after rejected openings, in multiples of open_retry_backoff. Servers count lost connections
+// for seconds (3 s on the users' platform), and each attempt costs the server work.
+constexpr unsigned max_backoff_steps = 4;
 constexpr duration expected_open_time = std::chrono::milliseconds{15};
 constexpr duration lost_share_retry_after = std::chrono::milliseconds{500};
-constexpr duration demand_window = std::chrono::seconds{5}; // half of a usual wave of load
-// A workspace that asks less often than that finds its connection closed for another one anyway.
+constexpr duration demand_window = std::chrono::seconds{5}; // half the period of a typical load wave
+// A workspace that sends requests less often than this usually finds its connection closed for another
+// workspace.
 constexpr duration workspace_retention = std::chrono::seconds{10};
-constexpr duration demand_decay_interval = std::chrono::seconds{1}; // from one connection given back to the next
-constexpr int smoothing = 8;                              // a new service time counts one eighth
+constexpr duration demand_decay_interval = std::chrono::seconds{1}; // per connection
+constexpr int smoothing = 8; // weight of a new service time is 1/8 (EWMA)
 
 unsigned background_limit(const pool_state& p) {
     return std::max(1U, p.share * p.background_share / 100);
@@ -41,7 +43,7 @@
     return w.any_workspace || p.owners.at(c) == w.workspace;
 }
 
-// The idle connection for this waiter that was used last; the end where it has none.
+// Returns the most recently used idle connection that can serve this waiter, or end().
 std::vector<connection_number>::iterator find_idle(pool_state& p, const queued_request& w) {
     const auto found =
         std::find_if(p.idle.rbegin(), p.idle.rend(), [&](connection_number c) { return can_serve(p, w, c); });
@@ -49,7 +51,7 @@
 }
 
 void assign_idle(pool_state& p, const queued_request& w, std::vector<connection_number>::iterator at,
-              pool_actions& actions) {
+                 pool_actions& actions) {
     const connection_number c = *at;
     p.idle.erase(at);
     p.busy.insert(c);
@@ -67,32 +69,34 @@
                        [&](connection_number c) { return p.owners.at(c) == workspace; });
 }
 
-// Its workspace pays for what the statement took, less what it paid when the request was sent.
+// Charges the workspace the statement's actual server time, less the expected cost that was charged when the
+// request was sent.
 void apply_actual_cost(pool_state& p, connection_number c, duration took) {
     const auto charged = p.charged.find(c);
     if (charged != p.charged.end()) {
         note_actual_cost(p.queue, p.owners.at(c),
-                  {.took = took, .charged = charged->second.cost, .weight = charged->second.weight});
+                         {.took = took, .charged = charged->second.cost, .weight = charged->second.weight});
         charged->second.cost = {};
     }
 }
 
-// Statements wait here for a place at the server. Otherwise they may wait at the server, nobody knows how
-// long.
+// Returns whether statements wait in this queue for a slot. Otherwise they may wait at the server for an
+// unknown time.
 bool limits_concurrency(const pool_state& p) {
     return concurrency_limit(p.limit) > 0;
 }
 
-// Others have gone before it for as long as an opening takes: the next connection that comes free makes room
-// for it. Where places at the server are counted, it is a place for its opening that it lacks.
+// Returns whether other requests have bypassed this one for as long as an opening takes; the next idle
+// connection is then closed to open one for it. Under a concurrency limit the request lacks a slot for its
+// opening.
 bool is_passed_over(const pool_state& p, const queued_request& w, time_point now) {
     const bool lacks_slot = limits_concurrency(p) && now >= p.open_retry_at;
     return now - w.queued_at >= expected_open_time && (open_count(p) >= p.share || lacks_slot) &&
            !is_opening_for(p, w.workspace);
 }
 
-// Hands out to the first waiter in line that has an idle connection. False where there is none, or it would
-// pass over another one for too long, or only background has one and has its part already.
+// Assigns an idle connection to the first waiter that can use one. Returns false if no waiter can, if it
+// would bypass an earlier waiter for too long, or if only background waiters can and their limit is reached.
 bool serve_next(pool_state& p, time_point now, pool_actions& actions) {
     for (const std::size_t i : order_requests(p.queue, now)) {
         const queued_request& waiter = p.queue.waiting[i];
@@ -126,14 +130,14 @@
     actions.emplace_back(open_connection{.connection = c, .workspace = workspace});
 }
 
-// Forgets whose a connection was that is open no more.
+// Adds the action that closes a connection, and removes its workspace entry.
 void close_one(pool_state& p, connection_number c, pool_actions& actions) {
     p.owners.erase(c);
     actions.emplace_back(close_connection{c});
 }
 
-// Room for one more: a part of the share that is not open, or an idle connection, the one used longest ago,
-// that nobody in line can use.
+// Ensures that one more connection may be opened: part of the share is unused, or the least recently used
+// idle connection, which no waiter can use, is closed.
 bool make_room(pool_state& p, pool_actions& actions) {
     if (open_count(p) < p.share) {
         return true;
@@ -147,7 +151,7 @@
     return true;
 }
 
-// How many connections of each workspace are on their way.
+// Returns the number of opening connections of each workspace.
 std::map<workspace_id, unsigned> count_opening(const pool_state& p) {
     std::map<workspace_id, unsigned> count;
     for (const connection_number c : p.opening) {
@@ -156,15 +160,16 @@
     return count;
 }
 
-// Opens one for each waiter, and a spare: opening takes longer than most statements. Not for workspaces, of
-// which nobody knows which one asks next.
+// Opens one connection for each waiter, and a spare one, since opening takes longer than most statements. No
+// spare is opened with workspaces: the workspace of the next request is unknown.
 void open_for_waiters(pool_state& p, time_point now, connection_number& next_connection,
                       pool_actions& actions) {
     if (now < p.open_retry_at) {
         return;
     }
     const unsigned spare = p.idle.empty() && !p.busy.empty() ? 1 : 0;
-    unsigned max_opening = p.consecutive_rejections > 0 ? std::min(waiting_count(p), 1U) : waiting_count(p) + spare;
+    unsigned max_opening =
+        p.consecutive_rejections > 0 ? std::min(waiting_count(p), 1U) : waiting_count(p) + spare;
     max_opening = std::min(max_opening, free_slots(p.limit, {.running = running_count(p)}));
     if (p.opening.size() >= max_opening) {
         return;
@@ -176,7 +181,7 @@
             return;
         }
         if (find_idle(p, w) != p.idle.end()) {
-            continue; // is held back for another reason
+            continue; // an idle connection exists; the waiter is held back for another reason
         }
         if (opening[w.workspace] > 0) {
             --opening[w.workspace];
@@ -187,7 +192,7 @@
         }
     }
     const bool allows_spare = std::all_of(p.owners.begin(), p.owners.end(),
-                                       [](const auto& owner) { return owner.second.value.empty(); });
+                                          [](const auto& owner) { return owner.second.value.empty(); });
     while (allows_spare && open_count(p) < p.share && p.opening.size() < max_opening) {
         open_one(p, {}, next_connection, actions);
     }
@@ -201,7 +206,7 @@
     }
 }
 
-// Waiting and idle places since the last look, which stood as they were then.
+// Accumulates waiting and idle slot time since the last update, during which the counts were constant.
 void update_slot_usage(pool_state& p, time_point now) {
     slot_usage& u = p.usage;
     if (u.updated_at != time_point{} && now > u.updated_at) {
@@ -221,7 +226,7 @@
     serve_waiters(p, now, actions);
     close_surplus(p, actions);
     open_for_waiters(p, now, next_connection, actions);
-    serve_waiters(p, now, actions); // what was kept for an opening and is left
+    serve_waiters(p, now, actions); // slots that openings left unused
     update_slot_usage(p, now);
 }
 
@@ -236,7 +241,8 @@
     return p.limit.response_times.at(static_cast<std::size_t>(klass)).smoothed;
 }
 
-// Its expected time at the server: that of its class, or while none of that was answered, of any.
+// Returns the expected server time of a request: the response time of its class, or of all classes while its
+// class has no sample.
 duration expected_cost(const pool_state& p, request_class klass) {
     const duration usual = smoothed_response_time(p, klass);
     if (usual > duration{0}) {
@@ -245,13 +251,13 @@
     return p.limit.smoothed_response_time > duration{0} ? p.limit.smoothed_response_time : p.service_time;
 }
 
-// As many answers take longer than usual as do not, so half as long again is allowed for it.
+// Responses exceed the smoothed response time as often as not, so half of it is added.
 duration response_time_allowance(const pool_state& p, const queued_request& w) {
     return smoothed_response_time(p, w.klass) * 3 / 2;
 }
 
-// A request that waits needs a connection, which a transaction holds also while it rests, and where the
-// server is crowded, one of the statements that may run at once.
+// Returns the expected wait for both a connection, which a transaction holds also while idle, and a slot
+// under the concurrency limit.
 duration estimated_wait(const pool_state& p, const queued_request& w, time_point now) {
     const bool is_background = w.klass == request_class::background;
     const unsigned connections =
@@ -262,35 +268,38 @@
     if (!limits_concurrency(p)) {
         return for_connection;
     }
-    return std::max(for_connection,
-                    expected_wait(p.queue, w.request,
-                                  {.slots = concurrency_limit(p.limit), .in_use = running_count(p), .hold_time = {}}, now));
+    return std::max(
+        for_connection,
+        expected_wait(p.queue, w.request,
+                      {.slots = concurrency_limit(p.limit), .in_use = running_count(p), .hold_time = {}},
+                      now));
 }
 
 bool is_critical(const queued_request& w) {
     return w.klass <= request_class::critical;
 }
 
-// Critical requests are sent as long as anybody waits for them: they go first, so they take little from the
-// others. What is patient and already late would only make those late that still can be in time.
+// Returns the time at which a waiting request is refused. Critical requests are sent until their deadline:
+// they precede others, so they delay them little. A late request of a lower class would only delay requests
+// that can still meet their objective.
 time_point refusal_time(const queued_request& w) {
     const bool may_be_late = is_critical(w) || w.answer_by == time_point{};
     return may_be_late ? w.deadline : std::min(w.deadline, w.answer_by);
 }
 
-// The latest moment at which it may be sent.
+// Returns the latest time at which a request may be sent.
 time_point latest_send_time(const pool_state& p, const queued_request& w) {
     return is_critical(w) ? w.deadline : refusal_time(w) - response_time_allowance(p, w);
 }
 
-// Puts it into the queue, as what the pool knows of its kind.
+// Adds a request to the queue, with the pool's estimates for its class.
 void enqueue(pool_state& p, const queued_request& w, time_point now) {
     queued_request waiter = w;
     waiter.queued_at = now;
     waiter.refuse_at = refusal_time(w);
     waiter.cost = expected_cost(p, w.klass);
     if (limits_concurrency(p) && w.answer_by != time_point{}) {
-        // At once late it is not, whatever its class takes.
+        // A request is not late on arrival, whatever the response time of its class.
         waiter.on_time_until = std::max(now, w.answer_by - response_time_allowance(p, w));
     }
     add_request(p.queue, waiter);
@@ -301,17 +310,19 @@
     return p.queue.waiting[order.front()].request == request;
 }
 
-// Until all that waits is done.
+// Returns the expected time until all waiting requests are served.
 duration queue_drain_time(const pool_state& p) {
     const unsigned at_once = limits_concurrency(p) ? concurrency_limit(p.limit) : std::max(1U, p.share);
     const duration one = limits_concurrency(p) ? p.limit.smoothed_response_time : p.service_time;
     return std::max(one * waiting_count(p) / at_once, expected_open_time);
 }
 
-// Nothing where the request, which is in the queue, may wait.
-std::optional<refuse_request> refuse_on_arrival(const pool_state& p, const queued_request& w, time_point now) {
+// Returns the refusal of a queued request that cannot be served in time, or nullopt if it may wait.
+std::optional<refuse_request> refuse_on_arrival(const pool_state& p, const queued_request& w,
+                                                time_point now) {
     const auto overload = p.overloaded_until.find({.klass = w.klass, .objective = w.objective});
-    if (overload != p.overloaded_until.end() && now < overload->second && !is_first_in_queue(p, w.request, now)) {
+    if (overload != p.overloaded_until.end() && now < overload->second &&
+        !is_first_in_queue(p, w.request, now)) {
         return refuse_request{
             .request = w.request, .code = result_code::overloaded, .retry_after = overload->second - now};
     }
@@ -320,7 +331,7 @@
     });
     const duration wait = estimated_wait(p, w, now) + (needs_opening ? expected_open_time : duration{0});
     if (now + wait > latest_send_time(p, w)) {
-        // Then there is room for one like it.
+        // A similar request can be served after this time.
         return refuse_request{.request = w.request,
                               .code = result_code::overloaded,
                               .retry_after = std::max(wait, expected_open_time)};
@@ -377,7 +388,7 @@
 }
 
 void connection_limit_reached(pool_state& p, connection_number c, time_point now,
-                            connection_number& next_connection, pool_actions& actions) {
+                              connection_number& next_connection, pool_actions& actions) {
     p.consecutive_rejections = std::min(p.consecutive_rejections + 1, max_backoff_steps);
     connection_failed(p, c, now, next_connection, actions);
     p.open_retry_at = now + open_retry_backoff * p.consecutive_rejections;
@@ -501,7 +512,7 @@
 unsigned take_peak_demand(pool_state& p, time_point now) {
     note_demand(p, now);
     if (now - p.peak_at > demand_window && p.peak_demand > 0) {
-        --p.peak_demand; // gives back one connection at a time
+        --p.peak_demand; // reduces the demand by one connection per interval
         p.peak_at = now - demand_window + demand_decay_interval;
     }
     std::erase_if(p.last_request_at, [now](const auto& a) { return now - a.second > workspace_retention; });
--- a/src/core/rate_limits.cpp
+++ b/src/core/rate_limits.cpp
@@ -1,7 +1,7 @@
 // See rate_limits.hpp.
 //
 // Index
-//   [control's side]  [a daemon's side]
+//   [control]  [daemon]
 #include "core/rate_limits.hpp"
 
 #include "core/lease.hpp"
@@ -16,17 +16,17 @@
     return std::chrono::duration<double>(d).count();
 }
 
-// Half for daemons to hold, half for the change of a leader.
+// Fraction of the slack for operations that daemons hold; the rest covers a leader change.
 constexpr double held_slack_fraction = 0.5;
-// Of the bucket stays for operations that wait: what is held ahead of need comes from the rest.
+// Fraction of the bucket that is reserved for waiting operations; prefetched operations come from the rest.
 constexpr double waiting_reserve_fraction = 0.5;
 constexpr duration max_retry_after = std::chrono::seconds{1};
-// A claim is renewed so long before its end that one lost answer does no harm.
+// Time before expiry at which a claim is renewed; it allows for one lost answer.
 constexpr duration renewal_margin = grant_lifetime * 6 / 10;
-constexpr double smoothing = 0.5;                                    // of the demand, from claim to claim
-constexpr duration min_demand_interval = std::chrono::milliseconds{200}; // measured over at least
+constexpr double smoothing = 0.5; // weight of a new demand sample (EWMA)
+constexpr duration min_demand_interval = std::chrono::milliseconds{200}; // minimum time of a demand sample
 
-// A bucket that holds no whole operation would never give one.
+// Returns the burst, at least 1: a bucket smaller than one operation would never grant any.
 unsigned burst_of(const workspace_entry& w) {
     return std::max(w.burst, 1U);
 }
@@ -36,14 +36,14 @@
     return b.overshoot * in_window + b.tolerance;
 }
 
-// The most that may be in the bucket and in hands, as far as this leader knows.
+// Returns the maximum number of operations in the bucket and held by daemons, as far as this leader knows.
 double max_outstanding(const workspace_entry& w, const rate_bounds& b, bool prior_grants_expired) {
     const double held = slack(w, b) * held_slack_fraction;
     return prior_grants_expired ? burst_of(w) + held : slack(w, b) - held;
 }
 
 double count_granted(rate_account& a, time_point now) {
-    std::erase_if(a.granted, [now](const auto& g) { return g.second.until <= now; });
+    std::erase_if(a.granted, [now](const auto& g) { return g.second.expires_at <= now; });
     double sum = 0;
     for (const auto& [id, granted] : a.granted) {
         sum += granted.operations;
@@ -57,7 +57,7 @@
     a.refilled_at = now;
 }
 
-// Whole operations that can be taken from `level`.
+// Returns the whole operations in `tokens`.
 unsigned whole_tokens(double tokens) {
     return tokens < 1 ? 0 : static_cast<unsigned>(tokens);
 }
@@ -85,7 +85,8 @@
     return grant;
 }
 
-// What the next half of grant_lifetime will take; nothing where less than every second claim would use it.
+// Returns the expected demand of the next half of grant_lifetime; 0 if fewer than every second claim would
+// use an operation.
 unsigned prefetch_target(const rate_holding& h) {
     return static_cast<unsigned>(std::lround(h.demand_per_second * seconds_in(grant_lifetime) / 2));
 }
@@ -93,11 +94,11 @@
 } // namespace
 
 //-----------------------------------------------------------------------------
-// [control's side]
+// [control]
 //-----------------------------------------------------------------------------
 
 std::vector<rate_grant> answer_rate_request(rate_ledger& l, const table& t, const rate_rules& rules,
-                                     const rate_request& r, time_point now) {
+                                            const rate_request& r, time_point now) {
     std::vector<rate_grant> grants;
     last_rate_request& last = l.last_requests[r.instance];
     const bool is_stale =
@@ -107,7 +108,8 @@
     }
     last = {.incarnation = r.incarnation, .seq = r.seq};
     std::erase_if(l.accounts, [&t](const auto& a) { return find_workspace(t, a.first) == nullptr; });
-    const bool prior_grants_expired = rules.prior_grants_expired || now - l.term_started_at >= grantor_lease_duration(grant_lifetime);
+    const bool prior_grants_expired =
+        rules.prior_grants_expired || now - l.term_started_at >= grantor_lease_duration(grant_lifetime);
     for (const rate_claim& claim : r.claims) {
         const workspace_entry* w = find_workspace(t, claim.workspace);
         if (w == nullptr || w->rate == 0) {
@@ -115,17 +117,18 @@
             continue;
         }
         const auto [account, is_new] = l.accounts.try_emplace(claim.workspace);
-        if (is_new) { // as full as it would be, had this leader counted from its first moment
+        if (is_new) { // initial fill as if counted since the start of this leader's term
             account->second.refilled_at = l.term_started_at;
         }
-        grants.push_back(
-            answer_claim(account->second, *w, max_outstanding(*w, rules.bounds, prior_grants_expired), r.instance, claim, now));
+        grants.push_back(answer_claim(account->second, *w,
+                                      max_outstanding(*w, rules.bounds, prior_grants_expired), r.instance,
+                                      claim, now));
     }
     return grants;
 }
 
 //-----------------------------------------------------------------------------
-// [a daemon's side]
+// [daemon]
 //-----------------------------------------------------------------------------
 
 void apply_limit(rate_holding& h, const workspace_entry& w) {
--- a/src/core/request_queue.cpp
+++ b/src/core/request_queue.cpp
@@ -1,7 +1,7 @@
 // See request_queue.hpp.
 //
 // Index
-//   [ranks]  [what happens]  [the order]  [how long]
+//   [ranks]  [updates]  [order]  [wait estimate]
 #include "core/request_queue.hpp"
 
 #include <algorithm>
@@ -15,15 +15,17 @@
 namespace {
 
 constexpr double ns_per_ms = 1e6;
-// A crest of load lasts for seconds: what the last half second was spent on tells of the next.
+// Time constant of the load's exponential decay. A load peak lasts for seconds, so the last half second
+// predicts the near future.
 constexpr duration load_time_constant = std::chrono::milliseconds{500};
-// Of a server's time; where the classes before leave less than that, they leave nothing.
+// Lower bound of the server's free fraction in wait estimates; keeps them finite when higher classes use all
+// of it.
 constexpr double min_share = 0.01;
-// Of a workspace that was sent less than this lately nothing is known.
+// Workspaces with less recent work are removed from workspace_load.
 constexpr double min_recent_ms = 0.1;
-// Waits are as often longer than estimated as they are shorter; so much is allowed for it.
+// Waits exceed their estimate as often as they fall below it; this factor is the allowance for the excess.
 constexpr double wait_safety_factor = 1.33;
-// Each step of priority doubles the weight.
+// Each step of priority doubles the weight up to this maximum.
 constexpr unsigned max_weight = 8;
 
 double to_ms(duration d) {
@@ -38,10 +40,10 @@
 // [ranks]
 //-----------------------------------------------------------------------------
 
-// Requests of one rank go before all of the next.
+// Sort key of class and lateness: all requests of one rank precede those of the next.
 struct rank {
     request_class klass = request_class::urgent;
-    unsigned late = 0; // 1: it is
+    unsigned late = 0; // 1 = late
     auto operator<=>(const rank&) const = default;
 };
 
@@ -53,7 +55,7 @@
     return (r.refuse_at == time_point{} ? r.deadline : r.refuse_at) - r.queued_at;
 }
 
-// From then on it may use the time that is kept for those that have waited long.
+// Returns the time from which a request may use the share reserved for aged requests.
 time_point aged_from(const queued_request& r) {
     return r.queued_at + max_wait(r) / aging_wait_divisor;
 }
@@ -75,8 +77,9 @@
     return now >= aged_from(r) && rank_of(r, now) > first;
 }
 
-// Whose turn it is of those that have waited long: the classes in turn, so that none of them takes all that
-// is kept, and of a class who has used most of its time.
+// Returns the index of the aged request to send next: round-robin between classes, so that no class takes the
+// whole reserved share, and within a class the request that has waited the largest fraction of its maximum
+// wait.
 std::optional<std::size_t> next_aged(const request_queue& q, time_point now) {
     const rank first = first_rank(q, now);
     std::array<std::optional<std::size_t>, request_class_count> longest;
@@ -89,7 +92,8 @@
         }
     }
     for (std::size_t i = 1; i <= request_class_count; ++i) {
-        const auto& of_class = longest.at((static_cast<std::size_t>(q.last_aged_class) + i) % request_class_count);
+        const auto& of_class =
+            longest.at((static_cast<std::size_t>(q.last_aged_class) + i) % request_class_count);
         if (of_class) {
             return of_class;
         }
@@ -97,7 +101,7 @@
     return std::nullopt;
 }
 
-// Where the workspace stands, in ms of the server's time by its weight.
+// Returns the virtual start time of the request's workspace (ms of server time divided by weight).
 double virtual_start(const request_queue& q, const queued_request& r) {
     if (r.any_workspace) {
         return q.virtual_time;
@@ -122,18 +126,18 @@
     q.load_updated_at = now;
 }
 
-// The part of the time of all places that went to the first classes lately.
+// Returns the fraction of all slots' time that recently went to the first `classes` classes.
 double recent_utilization(const request_queue& q, std::size_t classes, unsigned slots, time_point now) {
     const double decay = std::exp(-to_ms(now - q.load_updated_at) / to_ms(load_time_constant));
-    return std::accumulate(q.class_load.begin(), std::next(q.class_load.begin(), static_cast<std::ptrdiff_t>(classes)),
-                           0.0) *
+    return std::accumulate(q.class_load.begin(),
+                           std::next(q.class_load.begin(), static_cast<std::ptrdiff_t>(classes)), 0.0) *
            decay / (to_ms(load_time_constant) * slots);
 }
 
 } // namespace
 
 //-----------------------------------------------------------------------------
-// [what happens]
+// [updates]
 //-----------------------------------------------------------------------------
 
 unsigned workspace_weight(unsigned priority) {
@@ -166,7 +170,8 @@
         q.aged_credit -= std::min(q.aged_credit, sent->cost);
         q.last_aged_class = sent->klass;
     } else {
-        q.aged_credit = std::min(q.aged_credit + sent->cost / (aged_share_divisor - 1), q.waiting[*aged].cost);
+        q.aged_credit =
+            std::min(q.aged_credit + sent->cost / (aged_share_divisor - 1), q.waiting[*aged].cost);
     }
     decay_load(q, now);
     q.class_load.at(static_cast<std::size_t>(sent->klass)) += to_ms(sent->cost);
@@ -198,7 +203,7 @@
 }
 
 //-----------------------------------------------------------------------------
-// [the order]
+// [order]
 //-----------------------------------------------------------------------------
 
 bool is_late(const queued_request& r, time_point now) {
@@ -216,7 +221,7 @@
         const int by_workspace = q.waiting[a].workspace.value.compare(q.waiting[b].workspace.value);
         return by_workspace != 0 ? by_workspace < 0 : workspace_order(a) < workspace_order(b);
     });
-    // Where a workspace will stand when each of its requests is sent.
+    // Virtual start time of each request: it follows the preceding request of its workspace.
     std::vector<double> starts(q.waiting.size());
     for (std::size_t n = 0; n < order.size(); ++n) {
         const queued_request& r = q.waiting[order[n]];
@@ -225,7 +230,8 @@
         starts[order[n]] =
             follows ? starts[order[n - 1]] + weighted_cost(q.waiting[order[n - 1]]) : virtual_start(q, r);
     }
-    // Of one workspace, the order is its own: beginnings rise with it, and equal ones leave it to the rest.
+    // Start times increase within a workspace, so its own order is kept; equal start times fall through to
+    // the other criteria.
     std::sort(order.begin(), order.end(), [&](std::size_t a, std::size_t b) {
         const queued_request& x = q.waiting[a];
         const queued_request& y = q.waiting[b];
@@ -241,12 +247,12 @@
 }
 
 //-----------------------------------------------------------------------------
-// [how long]
+// [wait estimate]
 //-----------------------------------------------------------------------------
 
 namespace {
 
-// What is sent before a request.
+// Work that is sent before a request.
 struct queued_work {
     std::int64_t count = 0;
     double ms = 0;
@@ -257,7 +263,8 @@
     w.ms += to_ms(s.hold_time > duration{0} ? s.hold_time : r.cost);
 }
 
-// Until this work and what runs is done, but for one place, and with this part of the server's time.
+// Returns the time (ms) until a slot is free for `r`: until all but slots - 1 of the running and preceding
+// requests are done, with `share` of the server's time.
 double queueing_delay(const queued_work& w, const queued_request& r, const server_capacity& s, double share) {
     const std::int64_t free_slots = std::max<std::int64_t>(0, static_cast<std::int64_t>(s.slots) - s.in_use);
     if (w.count < free_slots) {
@@ -269,8 +276,8 @@
     return work_ms / (s.slots * std::max(share, min_share));
 }
 
-// Until its workspace has had so much of the server's time: as much of it as lately, or its part of it where
-// that is more.
+// Returns the time (ms) until the workspace has received own_ms of server time, at its recent rate or at its
+// fair share, whichever is higher.
 double wait_in_workspace(const request_queue& q, const queued_request& r, const server_capacity& s,
                          double own_ms) {
     double weights = r.weight;
@@ -285,7 +292,7 @@
 
 double wait_when_late(const request_queue& q, const queued_request& r, const server_capacity& s,
                       time_point now) {
-    queued_work first; // of its class and those above
+    queued_work first; // work of this and higher classes
     for (const queued_request& other : q.waiting) {
         if (other.request != r.request && other.klass <= r.klass) {
             add_work(first, other, s);
@@ -295,11 +302,11 @@
     return queueing_delay(first, r, s, 1.0 - recent_utilization(q, classes, s.slots, now));
 }
 
-// Until it may use the time that is kept for those that have waited long, and has had its turn of it.
+// Returns the time (ms) until the request is aged and is served from the share reserved for aged requests.
 double wait_for_aged_share(const request_queue& q, const queued_request& r, const server_capacity& s,
-                     time_point now) {
+                           time_point now) {
     const rank first = first_rank(q, now);
-    queued_work older; // of its class
+    queued_work older; // work of its class that is aged earlier
     std::set<request_class> classes{r.klass};
     for (const queued_request& other : q.waiting) {
         if (other.request != r.request && other.klass == r.klass && aged_from(other) <= aged_from(r)) {
@@ -309,7 +316,8 @@
             classes.insert(other.klass);
         }
     }
-    const double share = 1.0 / (wait_safety_factor * aged_share_divisor * static_cast<double>(classes.size()));
+    const double share =
+        1.0 / (wait_safety_factor * aged_share_divisor * static_cast<double>(classes.size()));
     return to_ms(std::max(aged_from(r) - now, duration{0})) + queueing_delay(older, r, s, share);
 }
 
@@ -325,14 +333,14 @@
     }
     const queued_request& r = q.waiting[*at];
     queued_work before;
-    double own_ms = 0; // of it, for its own workspace
+    double own_ms = 0; // preceding work of the same workspace
     for (auto i = order.begin(); i != at; ++i) {
         const queued_request& other = q.waiting[*i];
         add_work(before, other, s);
         own_ms += other.workspace == r.workspace && !other.any_workspace ? to_ms(other.cost) : 0;
     }
     if (s.hold_time > duration{0}) {
-        return from_ms(queueing_delay(before, r, s, 1.0)); // what the server does meanwhile nobody knows
+        return from_ms(queueing_delay(before, r, s, 1.0)); // future load is unknown
     }
     const auto higher_classes = static_cast<std::size_t>(r.klass);
     double wait = queueing_delay(before, r, s, 1.0 - recent_utilization(q, higher_classes, s.slots, now));
@@ -340,11 +348,11 @@
         wait = std::max(wait, wait_in_workspace(q, r, s, own_ms));
     }
     if (r.on_time_until != time_point{} && now + from_ms(wait * wait_safety_factor) > r.on_time_until) {
-        // It will be late, and then all of its class that is not goes first.
+        // A late request is sent after all requests of its class that are not late.
         wait = std::max(wait, wait_when_late(q, r, s, now));
     }
     if (rank{.klass = r.klass, .late = r.on_time_until != time_point{} ? 1U : 0U} <= first_rank(q, now)) {
-        return from_ms(wait); // nobody will go before its rank
+        return from_ms(wait); // first rank; the aged share is not needed
     }
     return from_ms(std::min(wait, wait_for_aged_share(q, r, s, now)));
 }
--- a/src/core/running_limit.cpp
+++ b/src/core/running_limit.cpp
@@ -5,17 +5,19 @@
 namespace larchpin {
 namespace {
 
-constexpr int smoothing = 8; // a new time counts one eighth
-// The least usual time forgets this part of the difference with each answer, so that a server that has become
-// slow by nature (other hardware, colder caches) is not taken for a crowded one for longer than some 1000
-// answers, ten seconds of a busy server's.
+constexpr int smoothing = 8; // weight of a new sample is 1/8 (EWMA)
+// Divisor of the baseline's rise towards the smoothed response time, applied with each response. A server
+// that has become permanently slower (other hardware, colder caches) is taken for an overloaded one for at
+// most about 1000 responses, ten seconds on a busy server.
 constexpr int baseline_smoothing = 1024;
-// Times that an answer takes what it does at an idle server: one statement waits before each that runs.
+// Slowdown of a response relative to an idle server that counts as overload: one statement waits before each
+// running statement.
 constexpr double overload_slowdown = 2.0;
-// Refusals that come within an answer's time (4 to 150 ms) tell of the same crowd.
+// Refusals within one response time (4 to 150 ms) belong to the same overload, and decrease the limit once.
 constexpr duration decrease_interval = std::chrono::milliseconds{150};
 constexpr duration increase_interval = std::chrono::milliseconds{250};
-// While the server is crowded: often enough to find out that the crowd is others'.
+// Interval between increases while the server is overloaded: short enough to detect that the load comes from
+// other clients.
 constexpr duration overload_increase_interval = std::chrono::seconds{2};
 
 void update_response_time(response_time_stats& t, duration took) {
@@ -28,8 +30,9 @@
 }
 
 double slowdown_of(const response_time_stats& t, duration took) {
-    return t.baseline.count() == 0 ? 1.0
-                                : static_cast<double>(took.count()) / static_cast<double>(t.baseline.count());
+    return t.baseline.count() == 0
+               ? 1.0
+               : static_cast<double>(took.count()) / static_cast<double>(t.baseline.count());
 }
 
 } // namespace
@@ -48,7 +51,9 @@
     response_time_stats& times = l.response_times.at(a.klass);
     update_response_time(times, a.took);
     l.smoothed_response_time =
-        l.smoothed_response_time.count() == 0 ? a.took : l.smoothed_response_time + (a.took - l.smoothed_response_time) / smoothing;
+        l.smoothed_response_time.count() == 0
+            ? a.took
+            : l.smoothed_response_time + (a.took - l.smoothed_response_time) / smoothing;
     l.slowdown += (slowdown_of(times, a.took) - l.slowdown) / smoothing;
     const duration pause = l.slowdown >= overload_slowdown ? overload_increase_interval : increase_interval;
     if (l.aimd_limit == 0 || now - l.increased_at < pause) {
@@ -76,7 +81,8 @@
 unsigned concurrency_limit(const running_limit& l) {
     const unsigned own = l.permits - std::min(l.permits, l.used_by_other_pools);
     const unsigned by_slots = l.permits == 0 ? 0 : std::max(1U, own);
-    return l.aimd_limit == 0 || by_slots == 0 ? std::max(l.aimd_limit, by_slots) : std::min(l.aimd_limit, by_slots);
+    return l.aimd_limit == 0 || by_slots == 0 ? std::max(l.aimd_limit, by_slots)
+                                              : std::min(l.aimd_limit, by_slots);
 }
 
 } // namespace larchpin
--- a/src/core/share_ledger.hpp
+++ b/src/core/share_ledger.hpp
@@ -1,6 +1,6 @@
-// What the leading control instance knows of each share: who holds how many connections of it, and who wants
-// how many. Kept up to date by renewals, so that the answer to one costs a walk over small numbers: 76
-// daemons with 24 shares each renew some 600 times a second on a third of a core.
+// Connections held and wanted by each daemon, by share, as known to the control leader. Renewals update the
+// ledger incrementally, so that each answer iterates over few entries: 76 daemons with 24 shares each renew
+// some 600 times a second on a third of a core.
 //
 // Index
 //   [data]  [functions]
@@ -18,31 +18,31 @@
 // [data]
 //-----------------------------------------------------------------------------
 
-using holder_number = std::uint32_t; // of a daemon in one ledger
+using holder_number = std::uint32_t; // number of a daemon in one ledger
 
 struct share_holder {
     holder_number daemon = 0;
-    unsigned held = 0;    // the most it may have open at this moment
-    unsigned wanted = 0;  // what its load could use
-    bool reserve = false; // keeps one connection for good, also without a lease
+    unsigned held = 0;    // maximum that the daemon may have open now
+    unsigned wanted = 0;  // connections that the daemon's load could use
+    bool reserve = false; // permanently keeps one connection, also without a lease
     auto operator<=>(const share_holder&) const = default;
 };
 
 struct share_account {
     std::vector<share_holder> holders;
-    revision_number reserves_revision = 0; // of the instances that the reserves were chosen from
+    revision_number reserves_revision = 0; // revision of the instances from which reserves were selected
 };
 
 struct share_ledger {
     std::map<instance_id, holder_number> holder_numbers;
-    std::vector<time_point> held_until; // by number: what a daemon holds counts till then
+    std::vector<time_point> held_until; // by holder number; end of the time for which held connections count
     std::map<share_key, share_account> accounts;
 };
 
-// One daemon's part of a share.
+// Limits for one daemon's part of a share.
 struct share_decision {
-    unsigned target = 0;         // its fair part of the limit
-    unsigned held_by_others = 0; // more than the limit less this it must not get
+    unsigned target = 0;         // fair part of the limit
+    unsigned held_by_others = 0; // the daemon may hold at most the limit minus this number
     auto operator<=>(const share_decision&) const = default;
 };
 
@@ -54,16 +54,16 @@
 
 void note_holder(share_ledger& l, const share_key& key, holder_number daemon, unsigned held, unsigned wanted);
 
-// It holds nothing of the share, and wants nothing.
+// Clears the connections that a daemon holds and wants of one share.
 void remove_holder(share_ledger& l, const share_key& key, holder_number daemon);
-void remove_holder(share_ledger& l, holder_number daemon); // of any share
+void remove_holder(share_ledger& l, holder_number daemon); // of all shares
 
-// The daemons that keep one connection of this share for good.
+// Sets the daemons that permanently keep one connection of a share.
 void set_reserves(share_ledger& l, const share_key& key, const std::vector<instance_id>& reserves,
                   revision_number revision);
 
-// What `daemon`, which wants `wanted`, may have of `limit`. Daemons whose time has run out count with their
-// reserve only.
+// Returns the part of `limit` for `daemon`, which wants `wanted` connections. A daemon whose held time has
+// expired counts with its reserve only.
 share_decision decide_share(const share_ledger& l, const share_key& key, holder_number daemon,
                             unsigned wanted, unsigned limit, time_point now);
 
--- a/src/core/shares.cpp
+++ b/src/core/shares.cpp
@@ -14,7 +14,7 @@
     unsigned left = limit;
     for (std::size_t i = 0; i < order.size(); ++i) {
         const auto sharers = static_cast<unsigned>(order.size() - i);
-        const unsigned fair = (left + sharers - 1) / sharers; // the smallest wishes are served first
+        const unsigned fair = (left + sharers - 1) / sharers; // smallest claims first
         const unsigned share = std::min({wanted[order[i]], fair, left});
         shares[order[i]] = share;
         left -= share;
@@ -23,7 +23,7 @@
 }
 
 unsigned fair_share(unsigned limit, unsigned own, const std::vector<unsigned>& others) {
-    std::vector<unsigned> smaller(own, 0); // by wish: how many others have it
+    std::vector<unsigned> smaller(own, 0); // number of other claims, by size
     for (const unsigned other : others) {
         if (other < own) {
             ++smaller[other];
--- a/src/core/shares.hpp
+++ b/src/core/shares.hpp
@@ -1,8 +1,8 @@
-// How a service's few connections to a backend server are divided among the daemons.
+// Division of a service's connection limit at a backend server among the daemons.
 //
-// The limit holds at every moment: a share counts as held until its daemon has confirmed a smaller one or
-// its lease has run out. A daemon in the server's own failure domain keeps one connection for good (its
-// reserve), so that a domain that is cut off goes on serving from its own servers.
+// The limit holds at every moment: a share counts as held until its daemon has confirmed a smaller share or
+// its lease has expired. A daemon in the server's own failure domain permanently keeps one connection (its
+// reserve), so that a partitioned domain continues to serve from its own servers.
 #pragma once
 
 #include "core/types.hpp"
@@ -12,18 +12,18 @@
 
 namespace larchpin {
 
-// What one share is about: a service's connections to one backend server.
+// Key of a share: a service's connections to one backend server.
 struct share_key {
     service_id service;
     server_id server;
     auto operator<=>(const share_key&) const = default;
 };
 
-// What a daemon says of one share when it renews its lease.
+// Claim of a daemon on one share, sent with its lease renewal.
 struct share_claim {
     share_key key;
-    unsigned in_effect = 0; // the most it has open or may open at this moment
-    unsigned wanted = 0;    // what its load could use
+    unsigned in_effect = 0; // maximum that is open or may be opened now
+    unsigned wanted = 0;    // connections that the daemon's load could use
     auto operator<=>(const share_claim&) const = default;
 };
 
@@ -33,17 +33,17 @@
     auto operator<=>(const share_grant&) const = default;
 };
 
-// Max-min fair division of `limit` over the wishes: nobody gets more than it wants, and what one does not
-// want goes to the others. The result has the order of `wanted` and sums up to at most `limit`.
+// Returns the max-min fair division of `limit`: no daemon gets more than it wants, and the unused part goes
+// to the others. The result has the order of `wanted` and a sum of at most `limit`.
 std::vector<unsigned> divide_fairly(unsigned limit, const std::vector<unsigned>& wanted);
 
-// What divide_fairly() gives to `own` of a limit that it shares with `others`, without dividing it all.
+// Returns the part that divide_fairly() gives to `own` among `others`, without computing the whole division.
 unsigned fair_share(unsigned limit, unsigned own, const std::vector<unsigned>& others);
 
-// What of a service's limit on connections to one server is for requests; at least one.
+// Returns the part of a service's connection limit at one server that serves requests; at least 1.
 unsigned connections_for_requests(unsigned limit, unsigned reserved_for_probes);
 
-// The most that one daemon may get now: its fair target, cut to what the others do not hold.
+// Returns the maximum that one daemon may get now: its fair target, capped to what other daemons do not hold.
 unsigned next_share(unsigned limit, unsigned target, unsigned held_by_others);
 
 } // namespace larchpin
--- a/tests/request_queue_test.cpp
+++ b/tests/request_queue_test.cpp
@@ -1,7 +1,7 @@
-// Who goes first at a backend server with more to do than it can: core/request_queue, alone and in a pool.
+// Tests of the request order at an overloaded backend server: core/request_queue, alone and in a pool.
 //
 // Index
-//   [a server in virtual time]  [classes]  [in time before late]  [workspaces]  [nobody starves]
+//   [simulated server]  [classes]  [lateness]  [workspaces]  [starvation]
 //   [refusals]  [transactions]
 #include "core/pool.hpp"
 #include "core/request_queue.hpp"
@@ -21,7 +21,7 @@
 using std::chrono::seconds;
 
 //-----------------------------------------------------------------------------
-// [a server in virtual time]
+// [simulated server]
 //-----------------------------------------------------------------------------
 
 struct workload {
@@ -30,7 +30,7 @@
     duration service_time{0};
     duration objective{0};
     duration deadline{0};
-    std::function<double(duration)> per_second; // at this time of the run
+    std::function<double(duration)> per_second; // arrival rate by time since the start
     std::string workspace{};
     unsigned weight = 1;
 };
@@ -42,12 +42,12 @@
     unsigned refused_on_arrival = 0;
     unsigned refused_later = 0;
     duration longest_wait{0};
-    duration waited{0}; // by all that were sent
+    duration waited{0}; // summed over all sent requests
     [[nodiscard]] unsigned served() const { return on_time + late; }
 };
 
-// Callers, one pool, and a server that does `places` statements at once. Work is what its kind says, give or
-// take a half; arrivals are by chance.
+// Simulates in virtual time callers, one pool, and a server that runs `slots` statements concurrently.
+// Service times vary by +-50 % around the workload's; arrivals are random.
 class simulated_server {
 public:
     simulated_server(unsigned places, std::vector<workload> kinds, std::uint64_t seed)
@@ -74,7 +74,7 @@
         }
     }
 
-    // The refusal where it was refused at once.
+    // Returns the refusal if the request is refused on arrival.
     std::optional<refuse_request> ask(const workload& k) {
         const request_number number = next_request_++;
         asked_[number] = {.of = k, .at = now};
@@ -132,7 +132,7 @@
             pool_actions actions;
             statement_ended(pool, r.connection, {.took = now - r.sent, .klass = a.of.klass}, now,
                             next_connection_, actions);
-            pool.limit.aimd_limit = slots_; // it would grow
+            pool.limit.aimd_limit = slots_; // undoes the limit's growth
             release_connection(pool, r.connection, true, now - r.sent, now, next_connection_, actions);
             apply_actions(actions);
         }
@@ -150,8 +150,8 @@
                 sum.longest_wait = std::max(sum.longest_wait, now - a.at);
                 sum.waited += now - a.at;
                 const auto half = a.of.service_time.count() / 2;
-                const duration work{
-                    std::uniform_int_distribution<std::int64_t>(half, a.of.service_time.count() + half)(random_)};
+                const duration work{std::uniform_int_distribution<std::int64_t>(
+                    half, a.of.service_time.count() + half)(random_)};
                 running_.push_back({used->connection, used->request, now, now + work});
                 EXPECT_LE(running_.size(), slots_);
             } else if (const auto* refused = std::get_if<refuse_request>(&action)) {
@@ -179,7 +179,7 @@
     return [=](duration at) { return at >= from && at < until ? high : usual; };
 }
 
-// Orders, questions of people who wait, and patient reads, as callers of a booking service send them.
+// Workloads of a booking service: orders, lookups of waiting users, and patient reads.
 workload orders(std::function<double(duration)> rate) {
     return {"orders", request_class::urgent, milliseconds{8}, milliseconds{200}, seconds{1}, std::move(rate)};
 }
@@ -200,7 +200,7 @@
 // [classes]
 //-----------------------------------------------------------------------------
 
-TEST(classes, of_a_route_follow_its_priority) {
+TEST(classes, follow_route_priority) {
     const auto of = [](unsigned priority) {
         route_entry route;
         route.priority = priority;
@@ -218,13 +218,13 @@
     EXPECT_EQ(s.settings.klass, request_class::urgent);
 }
 
-// Instances of two versions talk to each other while one replaces the other.
-TEST(classes, are_told_so_that_an_older_instance_understands) {
+// Instances of two versions exchange messages during a rolling upgrade.
+TEST(classes, are_encoded_compatibly_with_older_instances) {
     EXPECT_EQ(to_wire_class(request_class::critical), (wire_class{.number = 0}));
     EXPECT_EQ(to_wire_class(request_class::normal), (wire_class{.number = 1}));
     EXPECT_EQ(to_wire_class(request_class::background), (wire_class{.number = 2}));
-    EXPECT_EQ(to_wire_class(request_class::urgent).number, 0U) << "critical, for those that know no better";
-    EXPECT_EQ(from_wire_class({.number = 0}), request_class::critical) << "as an older instance tells it";
+    EXPECT_EQ(to_wire_class(request_class::urgent).number, 0U) << "sent as critical to older instances";
+    EXPECT_EQ(from_wire_class({.number = 0}), request_class::critical) << "encoding of an older instance";
     EXPECT_EQ(from_wire_class({.number = 3}), std::nullopt);
     for (const request_class c :
          {request_class::urgent, request_class::critical, request_class::normal, request_class::background}) {
@@ -232,25 +232,26 @@
     }
 }
 
-// Half as much again as the server can do for ten seconds, and lookups alone would fill it.
-TEST(request_queue, sends_orders_before_lookups_where_there_is_too_little_room) {
+// The load is 1.5 times the server's capacity for ten seconds, and lookups alone would fill the server.
+TEST(request_queue, sends_urgent_before_critical_under_overload) {
     for (std::uint64_t seed = 1; seed <= 5; ++seed) {
-        simulated_server s(5, {orders(steady_rate(200)), lookups(steady_rate(200)), views(steady_rate(25))}, seed);
+        simulated_server s(5, {orders(steady_rate(200)), lookups(steady_rate(200)), views(steady_rate(25))},
+                           seed);
         s.run(seconds{10});
         const workload_result& o = s.results["orders"];
         const workload_result& l = s.results["lookups"];
         EXPECT_EQ(o.refused_on_arrival + o.refused_later, 0U);
         EXPECT_GE(fraction(o.on_time, o.asked), 0.995);
         EXPECT_LE(o.longest_wait, milliseconds{100}) << "half of the objective";
-        EXPECT_GE(fraction(l.on_time, l.asked), 0.45) << "what is left of the server";
+        EXPECT_GE(fraction(l.on_time, l.asked), 0.45) << "remaining capacity of the server";
     }
 }
 
 //-----------------------------------------------------------------------------
-// [in time before late]
+// [lateness]
 //-----------------------------------------------------------------------------
 
-TEST(request_queue, within_a_class_what_can_be_in_time_goes_first) {
+TEST(request_queue, sends_on_time_before_late_within_a_class) {
     request_queue q;
     const time_point now{seconds{1}};
     queued_request r{.request = 1,
@@ -269,24 +270,23 @@
     add_request(q, r);
     const auto first = [&](time_point at) { return q.waiting[order_requests(q, at).front()].request; };
     EXPECT_EQ(first(now), 1U) << "the shorter objective";
-    EXPECT_EQ(first(now + milliseconds{60}), 2U) << "the other one is late anyway";
-    EXPECT_EQ(first(now + milliseconds{360}), 1U) << "both are late, and the class goes before";
+    EXPECT_EQ(first(now + milliseconds{60}), 2U) << "request 1 is late";
+    EXPECT_EQ(first(now + milliseconds{360}), 1U) << "both are late; class precedes";
 }
 
-// A crest of two seconds, in which orders and lookups fill the server. Patient reads that would be late make
-// others late where they are served all the same: so nearly all that are taken in are in time, and the crest
-// costs no more of them than those that come in it.
-TEST(request_queue, patient_reads_give_way_in_a_crest_and_are_in_time_around_it) {
+// Orders and lookups fill the server during a peak of two seconds. Serving patient reads that are already
+// late would make others late, so nearly all admitted reads meet their objective, and the peak loses only the
+// reads that arrive in it.
+TEST(request_queue, refuses_patient_reads_during_a_load_peak) {
     for (std::uint64_t seed = 1; seed <= 5; ++seed) {
         simulated_server s(5,
-                      {orders(peak_rate(100, 250, seconds{2}, seconds{4})),
-                       lookups(peak_rate(60, 130, seconds{2}, seconds{4})), views(steady_rate(15))},
-                      seed);
+                           {orders(peak_rate(100, 250, seconds{2}, seconds{4})),
+                            lookups(peak_rate(60, 130, seconds{2}, seconds{4})), views(steady_rate(15))},
+                           seed);
         s.run(seconds{10});
         const workload_result& v = s.results["views"];
         const unsigned refused = v.refused_on_arrival + v.refused_later;
-        EXPECT_LE(fraction(refused, v.asked), 0.32)
-            << "the crest of 2 s, and the 1.2 s after it that were waited for";
+        EXPECT_LE(fraction(refused, v.asked), 0.32) << "the peak of 2 s, and the objective of 1.2 s after it";
         EXPECT_LE(fraction(v.late, v.asked - refused), 0.05);
         EXPECT_GE(fraction(s.results["orders"].on_time, s.results["orders"].asked), 0.995);
     }
@@ -296,8 +296,8 @@
 // [workspaces]
 //-----------------------------------------------------------------------------
 
-// Ten workspaces that use eight tenths of a server, until one sends eight times its usual.
-TEST(workspaces, one_that_sends_eight_times_its_usual_delays_itself_first) {
+// Ten workspaces use 80 % of a server until one sends eight times its usual load.
+TEST(workspaces, excess_load_delays_only_its_own_workspace) {
     for (std::uint64_t seed = 1; seed <= 5; ++seed) {
         std::vector<workload> kinds;
         for (int w = 0; w < 10; ++w) {
@@ -311,15 +311,17 @@
             const workload_result& other = s.results["w" + std::to_string(w)];
             EXPECT_LE(fraction(other.refused_on_arrival + other.refused_later, other.asked), 0.01);
             EXPECT_GE(fraction(other.on_time, other.asked), 0.98);
-            EXPECT_LE(other.waited / other.served(), milliseconds{40}) << "in the mean two statements' time";
+            EXPECT_LE(other.waited / other.served(), milliseconds{40})
+                << "mean wait of at most two statements";
         }
         const workload_result& own = s.results["w0"];
-        EXPECT_GE(fraction(own.served(), own.asked), 0.35) << "what the others leave, less its openings";
+        EXPECT_GE(fraction(own.served(), own.asked), 0.35)
+            << "capacity left by the others, less its openings";
         EXPECT_LE(fraction(own.refused_later, own.asked), 0.05);
     }
 }
 
-TEST(workspaces, come_back_from_a_rest_without_anything_saved_up) {
+TEST(workspaces, gain_no_credit_while_idle) {
     request_queue q;
     time_point now{seconds{1}};
     request_number next = 1;
@@ -348,21 +350,21 @@
         rested += send() == "rested" ? 1 : 0;
     }
     EXPECT_GE(rested, 19U);
-    EXPECT_LE(rested, 21U) << "in turn, and not all at once for its time away";
+    EXPECT_LE(rested, 21U) << "alternates; no credit for the idle period";
 }
 
-TEST(workspaces, of_a_higher_priority_get_more_of_the_time) {
+TEST(workspaces, with_higher_priority_get_more_server_time) {
     EXPECT_EQ(workspace_weight(0), 8U);
     EXPECT_EQ(workspace_weight(2), 2U);
     EXPECT_EQ(workspace_weight(3), 1U);
     EXPECT_EQ(workspace_weight(4'000'000'000U), 1U);
     const auto with_weights = [](unsigned a, unsigned b) {
         simulated_server s(2,
-                      {{"a", request_class::normal, milliseconds{20}, milliseconds{100}, milliseconds{600},
-                        steady_rate(200), "a", a},
-                       {"b", request_class::normal, milliseconds{20}, milliseconds{100}, milliseconds{600},
-                        steady_rate(200), "b", b}},
-                      1);
+                           {{"a", request_class::normal, milliseconds{20}, milliseconds{100},
+                             milliseconds{600}, steady_rate(200), "a", a},
+                            {"b", request_class::normal, milliseconds{20}, milliseconds{100},
+                             milliseconds{600}, steady_rate(200), "b", b}},
+                           1);
         s.run(seconds{10});
         return static_cast<double>(s.results["a"].served()) / s.results["b"].served();
     };
@@ -371,23 +373,24 @@
 }
 
 //-----------------------------------------------------------------------------
-// [nobody starves]
+// [starvation]
 //-----------------------------------------------------------------------------
 
-// Orders alone are more than the server can do, for as long as the run lasts.
-TEST(request_queue, a_patient_read_is_served_behind_an_endless_stream_of_orders) {
+// Orders alone exceed the server's capacity during the whole run.
+TEST(request_queue, serves_patient_reads_under_continuous_urgent_load) {
     for (std::uint64_t seed = 1; seed <= 5; ++seed) {
         simulated_server s(5, {orders(steady_rate(800)), views(steady_rate(4))}, seed);
         s.run(seconds{20});
         const workload_result& v = s.results["views"];
-        EXPECT_GE(fraction(v.served(), v.asked), 0.9) << "3% of the server's time, and an eighth is kept";
+        EXPECT_GE(fraction(v.served(), v.asked), 0.9)
+            << "needs 3% of the server's time; an eighth is reserved";
         EXPECT_EQ(v.refused_later, 0U);
     }
 }
 
-// Once a request is the one that has waited longest of all that are behind the first rank, others get
-// aged_share_divisor - 1 times its own work at most, and one request more.
-TEST(request_queue, whoever_has_waited_longest_goes_within_eight_times_its_own_work) {
+// Once a request is the longest-waiting request behind the first rank, the others get at most
+// aged_share_divisor - 1 times its own work, plus one request.
+TEST(request_queue, bounds_the_work_sent_before_an_aged_request) {
     EXPECT_TRUE(rc::check([] {
         std::mt19937_64 random(*rc::gen::arbitrary<std::uint32_t>());
         const auto number = [&random](int from, int to) {
@@ -402,7 +405,7 @@
                                      .queued_at = now,
                                      .cost = milliseconds{number(1, 100)}};
         add_request(q, patient);
-        now += milliseconds{8}; // has used most of its time, and nobody else ever has
+        now += milliseconds{8}; // has waited longer than all other requests, by fraction of its maximum
         duration before{0};
         for (;;) {
             for (int i = number(1, 3); i > 0; --i) {
@@ -428,13 +431,14 @@
 // [refusals]
 //-----------------------------------------------------------------------------
 
-// Twice what the server can do, of every class.
-TEST(request_queue, what_cannot_be_served_is_refused_at_once_and_not_later) {
+// The load is twice the server's capacity, in every class.
+TEST(request_queue, refuses_excess_requests_on_arrival) {
     for (std::uint64_t seed = 1; seed <= 5; ++seed) {
-        simulated_server s(5, {orders(steady_rate(300)), lookups(steady_rate(200)), views(steady_rate(70))}, seed);
+        simulated_server s(5, {orders(steady_rate(300)), lookups(steady_rate(200)), views(steady_rate(70))},
+                           seed);
         s.run(seconds{10});
         for (const auto& [name, r] : s.results) {
-            EXPECT_LE(fraction(r.refused_later, r.asked), 0.05) << name << ": waits vary";
+            EXPECT_LE(fraction(r.refused_later, r.asked), 0.05) << name << ": wait estimates vary";
             EXPECT_GT(r.asked, 0U);
         }
         EXPECT_EQ(s.results["orders"].refused_on_arrival, 0U);
@@ -442,11 +446,11 @@
     }
 }
 
-TEST(request_queue, a_refused_request_finds_room_when_it_comes_back_at_the_time_that_it_was_told) {
+TEST(request_queue, admits_a_refused_request_after_its_retry_time) {
     const workload k{"reads",           request_class::normal, milliseconds{20},
-                 milliseconds{200}, milliseconds{500},     steady_rate(0)};
+                     milliseconds{200}, milliseconds{500},     steady_rate(0)};
     simulated_server s(4, {k}, 3);
-    for (int i = 0; i < 8; ++i) { // it learns what a statement takes
+    for (int i = 0; i < 8; ++i) { // samples for the response time
         s.ask(k);
         s.run(milliseconds{50});
     }
@@ -456,12 +460,12 @@
     }
     ASSERT_TRUE(refusal);
     EXPECT_EQ(refusal->code, result_code::overloaded);
-    EXPECT_GE(refusal->retry_after, milliseconds{120}) << "the queue takes what can be in time, 200 ms";
+    EXPECT_GE(refusal->retry_after, milliseconds{120}) << "the queue holds what meets the objective, 200 ms";
     EXPECT_LE(refusal->retry_after, milliseconds{240});
     s.run(refusal->retry_after / 2);
-    EXPECT_GT(waiting_count(s.pool), 8U) << "half of the time, and there is a queue still";
+    EXPECT_GT(waiting_count(s.pool), 8U) << "a queue remains after half of the time";
     s.run(refusal->retry_after - refusal->retry_after / 2);
-    EXPECT_LE(waiting_count(s.pool), 8U) << "two rounds: as good as room at once";
+    EXPECT_LE(waiting_count(s.pool), 8U) << "at most two statements per slot";
     EXPECT_FALSE(s.ask(k));
 }
 
@@ -469,7 +473,7 @@
 // [transactions]
 //-----------------------------------------------------------------------------
 
-TEST(request_queue, a_transaction_under_way_waits_for_nobody) {
+TEST(request_queue, does_not_queue_statements_of_open_transactions) {
     pool_state p;
     connection_number next = 1;
     pool_actions actions;
@@ -490,14 +494,14 @@
     const connection_number c = *p.busy.begin();
     statement_ended(p, c, {.took = milliseconds{5}, .in_transaction = true}, now, next, actions);
     p.limit.aimd_limit = 1;
-    ASSERT_EQ(ask(2), 1) << "the transaction rests, and leaves its place";
+    ASSERT_EQ(ask(2), 1) << "an idle transaction leaves its slot free";
     ASSERT_EQ(ask(3), 0);
-    statement_started(p, c); // its next statement goes at once, though the only place is taken
+    statement_started(p, c); // its next statement does not queue, though the only slot is taken
     EXPECT_FALSE(p.idle_in_transaction.contains(c));
     ASSERT_EQ(waiting_count(p), 1U);
     actions.clear();
     statement_ended(p, c, {.took = milliseconds{5}, .in_transaction = true}, now, next, actions);
-    EXPECT_TRUE(actions.empty()) << "and new work waits until there is a place again";
+    EXPECT_TRUE(actions.empty()) << "new requests wait for a free slot";
 }
 
 } // namespace
--- a/tests/workspace_test.cpp
+++ b/tests/workspace_test.cpp
@@ -1,5 +1,5 @@
-// Workspaces without a network: who is let in, whose a connection is, and that a rate holds over all daemons
-// whatever is cut off, delayed or replaced.
+// Tests of workspaces without a network: authorization, connection ownership, and rate limits that hold over
+// all daemons despite partitions, delays and restarts.
 //
 // Index
 //   [table]  [admission]  [connections]  [rate limits]
@@ -38,7 +38,7 @@
     return t;
 }
 
-TEST(workspaces, of_a_table_keep_its_rules) {
+TEST(workspaces, are_validated_in_the_table) {
     EXPECT_EQ(check_table(make_table()), "");
     table without_keys = make_table();
     without_keys.keys.clear();
@@ -52,7 +52,7 @@
     EXPECT_NE(check_table(repeated), "");
     table unknown = make_table();
     unknown.workspaces.pop_back();
-    EXPECT_NE(check_table(unknown), "") << "a key that opens nothing";
+    EXPECT_NE(check_table(unknown), "") << "key of an unknown workspace";
     table fast = make_table();
     fast.workspaces.front().rate = 1'000'001;
     EXPECT_NE(check_table(fast), "");
@@ -65,7 +65,7 @@
 // [admission]
 //-----------------------------------------------------------------------------
 
-TEST(admission, goes_by_the_key_and_refuses_for_good_only_by_the_newest_table) {
+TEST(admission, refuses_unknown_keys_only_by_the_current_table) {
     const table t = make_table();
     const route_entry route;
     const admission acme = admit(t, route, digest_key("acme-2"), true);
@@ -74,11 +74,12 @@
     EXPECT_EQ(admit(t, route, digest_key("acme-2"), false).verdict, admission_verdict::admitted);
     EXPECT_EQ(admit(t, route, digest_key("acme"), true).verdict, admission_verdict::refused);
     EXPECT_EQ(admit(t, route, digest_key("acme"), false).verdict, admission_verdict::undetermined)
-        << "the key may be a new one";
-    EXPECT_EQ(admit(t, route, "acme-1", true).verdict, admission_verdict::refused) << "a name is no digest";
+        << "the key may be new";
+    EXPECT_EQ(admit(t, route, "acme-1", true).verdict, admission_verdict::refused)
+        << "a key is not its digest";
 }
 
-TEST(admission, of_a_public_route_needs_no_key_and_knows_one) {
+TEST(admission, of_a_public_route_needs_no_key) {
     const table t = make_table();
     route_entry open;
     open.is_public = true;
@@ -87,7 +88,7 @@
     EXPECT_EQ(admit(t, open, digest_key("bell-1"), true).workspace.value, "bell");
 }
 
-TEST(admission, of_a_table_without_workspaces_lets_everyone_in) {
+TEST(admission, admits_all_without_workspaces) {
     EXPECT_EQ(admit(table{}, {}, digest_key("x"), true).verdict, admission_verdict::admitted);
 }
 
@@ -95,7 +96,7 @@
 // [connections]
 //-----------------------------------------------------------------------------
 
-// A pool whose connections open at once, and what it did.
+// A pool whose connections open immediately, with a record of its actions.
 struct small_pool {
     pool_state p;
     time_point now{seconds{1}};
@@ -142,7 +143,7 @@
     }
 };
 
-TEST(connections, serve_the_workspace_that_they_were_opened_for) {
+TEST(connections, serve_only_their_workspace) {
     small_pool s(4);
     const request_number a = s.ask("acme");
     const request_number b = s.ask("bell");
@@ -151,45 +152,45 @@
     s.release(a);
     s.release(b);
     const request_number again = s.ask("acme");
-    EXPECT_EQ(s.used.at(again), s.used.at(a)) << "its own idle one is used again";
+    EXPECT_EQ(s.used.at(again), s.used.at(a)) << "its idle connection is reused";
 }
 
-// Many workspaces, each asking now and then, before a server that takes few connections: whoever was idle
-// longest makes room, and those that ask often keep theirs.
-TEST(connections, make_room_for_another_workspace_where_the_share_is_used_up) {
+// Many workspaces with occasional requests share a server with few connections: the least recently used
+// connection is closed, and workspaces with frequent requests keep theirs.
+TEST(connections, are_closed_least_recently_used_first) {
     small_pool s(3);
     for (const char* name : {"acme", "bell", "cole"}) {
         s.release(s.ask(name));
     }
-    s.release(s.ask("acme")); // now bell has rested longest
+    s.release(s.ask("acme")); // bell's connection is now least recently used
     const std::size_t before = s.opened_count;
     const request_number d = s.ask("dunn");
     EXPECT_EQ(s.opened.at(s.used.at(d)).value, "dunn");
     EXPECT_EQ(s.opened_count, before + 1);
     s.release(s.ask("acme"));
     s.release(s.ask("cole"));
-    EXPECT_EQ(s.opened_count, before + 1) << "bell's was closed, and no other";
+    EXPECT_EQ(s.opened_count, before + 1) << "only bell's connection was closed";
 }
 
-// One request a minute beside forty a second, and one connection for both: whoever is passed over for as long
-// as an opening takes gets the next connection that comes free.
-TEST(connections, are_not_kept_from_a_small_workspace_by_a_large_one) {
+// One connection serves one request a minute beside forty a second: a request that is bypassed for as long as
+// an opening takes gets the next connection that becomes idle.
+TEST(connections, are_shared_between_small_and_large_workspaces) {
     small_pool s(1);
     request_number large = s.ask("large");
     const request_number small = s.ask("small");
     unsigned large_first = 0;
     while (!s.used.contains(small) && large_first < 100) {
-        const request_number next_large = s.ask("large"); // there is always another one
+        const request_number next_large = s.ask("large"); // the large workspace always has a waiting request
         s.now += milliseconds{5};
         s.release(large);
         large = next_large;
         ++large_first;
     }
     EXPECT_TRUE(s.used.contains(small));
-    EXPECT_LE(large_first, 4U) << "15 ms, 5 ms each";
+    EXPECT_LE(large_first, 4U) << "an opening takes 15 ms, each request 5 ms";
 }
 
-TEST(connections, of_any_workspace_do_for_what_asks_nothing_of_the_data) {
+TEST(connections, of_any_workspace_serve_requests_without_data) {
     small_pool s(1);
     s.release(s.ask("acme"));
     const request_number probe = s.next_request++;
@@ -201,19 +202,19 @@
     EXPECT_EQ(s.opened_count, 1U);
 }
 
-// A share of connections follows the workspaces that ask, and not only what is busy at one moment: of forty
-// that ask in turn each would otherwise close another one's connection.
-TEST(connections, are_claimed_for_every_workspace_that_asked_lately) {
+// The connection claim counts recently active workspaces, not only busy connections: otherwise each of forty
+// workspaces that send requests in turn would close another's connection.
+TEST(connections, are_claimed_for_recently_active_workspaces) {
     small_pool s(25);
     for (int i = 0; i < 40; ++i) {
         s.release(s.ask("w" + std::to_string(i)));
         s.now += milliseconds{20};
     }
     EXPECT_EQ(take_peak_demand(s.p, s.now), 40U);
-    EXPECT_EQ(take_peak_demand(s.p, s.now + seconds{11}), 0U) << "nobody has asked for long";
+    EXPECT_EQ(take_peak_demand(s.p, s.now + seconds{11}), 0U) << "no recent requests";
 }
 
-// Seventy entries, three failure domains, 25 connections to a server.
+// Seventy entries in three failure domains, and 25 connections to a server.
 struct many_entries {
     cluster_state state;
     server_record server{.id = {"s1"}, .group = {"g"}, .host = "10.0.0.9", .port = 1, .domain = {"z1"}};
@@ -229,17 +230,17 @@
     }
 };
 
-TEST(workspace_homes, are_in_the_servers_own_domain_with_one_of_each_other_behind_them) {
+TEST(workspace_homes, are_in_the_servers_domain_with_one_standby_per_other_domain) {
     const many_entries e;
     const auto homes = workspace_homes(e.state, e.server, 25);
     ASSERT_EQ(homes.size(), 5U);
     for (std::size_t i = 0; i < homes.size(); ++i) {
         EXPECT_EQ(e.state.instances.at(homes[i]).domain == e.server.domain, i < 3);
     }
-    EXPECT_TRUE(workspace_homes(e.state, e.server, 140).empty()) << "enough for everyone";
+    EXPECT_TRUE(workspace_homes(e.state, e.server, 140).empty()) << "enough connections for all entries";
 }
 
-TEST(workspace_homes, divide_the_workspaces_and_keep_them_when_one_is_lost) {
+TEST(workspace_homes, divide_workspaces_stably_when_one_is_lost) {
     const std::vector<std::string> addresses{"10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1"};
     const auto first_of = [](const workspace_id& w, const std::vector<std::string>& of) {
         return *std::min_element(of.begin(), of.end(), [&w](const auto& a, const auto& b) {
@@ -263,8 +264,8 @@
 // [rate limits]
 //-----------------------------------------------------------------------------
 
-// Some daemons and control, whose messages are lost and delayed at random; leaders change, daemons freeze,
-// are cut off and start again. Every operation that a daemon lets through is noted.
+// Model of daemons and control with random message loss and delay; leaders change, and daemons are suspended,
+// partitioned and restarted. Every admitted operation is recorded.
 class rate_model {
 public:
     rate_model(std::uint64_t seed, unsigned rate, unsigned burst, rate_bounds bounds)
@@ -289,7 +290,7 @@
         }
         if (what == 0) {
             d.disconnected_until = now_ + milliseconds{number(3000)};
-        } else if (what == 1) { // starts again, and holds nothing
+        } else if (what == 1) { // restarts without held operations
             d = {.incarnation = d.incarnation + 1, .holding = {}};
         } else if (what == 2 && number(3) == 0) {
             ledger_ = {};
@@ -301,7 +302,7 @@
         }
     }
 
-    // The most that any span of the window has seen, against what the limit allows.
+    // Checks the maximum number of operations in any window against the limit.
     void check() const {
         const double window = std::chrono::duration<double>(bounds_.window).count();
         const workspace_entry& w = t_.workspaces.front();
@@ -333,7 +334,7 @@
         std::uint64_t incarnation = 0;
         time_point sent{};
         rate_request request;
-        std::optional<rate_grant> grant{}; // on the way back
+        std::optional<rate_grant> grant{}; // set in the reply
     };
 
     int number(int highest) { return std::uniform_int_distribution<int>(0, highest)(random_); }
@@ -358,7 +359,7 @@
     }
     void ask(daemon_state& d) {
         if (d.asking && number(9) > 0) {
-            return; // not given up yet
+            return; // the request has not timed out yet
         }
         const auto claim = make_claim(d.holding, {"acme"}, d.waiting, now_);
         if (!claim || now_ < d.disconnected_until) {
@@ -367,19 +368,19 @@
         d.asking = true;
         ++d.seq;
         in_flight_.push_back({.at = arrival(),
-                               .daemon = index_of(d),
-                               .incarnation = d.incarnation,
-                               .sent = now_,
-                               .request = {.instance = {std::to_string(index_of(d))},
-                                           .incarnation = d.incarnation,
-                                           .seq = d.seq,
-                                           .claims = {*claim}}});
+                              .daemon = index_of(d),
+                              .incarnation = d.incarnation,
+                              .sent = now_,
+                              .request = {.instance = {std::to_string(index_of(d))},
+                                          .incarnation = d.incarnation,
+                                          .seq = d.seq,
+                                          .claims = {*claim}}});
     }
     void deliver(const message& m) {
         daemon_state& d = daemons_[m.daemon];
         if (!m.grant) {
-            const auto grants =
-                answer_rate_request(ledger_, t_, {.bounds = bounds_, .prior_grants_expired = false}, m.request, now_);
+            const auto grants = answer_rate_request(
+                ledger_, t_, {.bounds = bounds_, .prior_grants_expired = false}, m.request, now_);
             if (!grants.empty()) {
                 message back = m;
                 back.at = arrival();
@@ -410,10 +411,10 @@
     std::deque<message> new_messages_;
     std::vector<time_point> used_;
     time_point now_{seconds{100}};
-    bool flood_ = false; // everybody asks for far more than there is
+    bool flood_ = false; // demand far exceeds the limit
 };
 
-TEST(rate_limits, hold_in_every_window_whatever_is_lost_cut_or_replaced) {
+TEST(rate_limits, hold_in_every_window_despite_failures) {
     EXPECT_TRUE(rc::check([] {
         const auto rate = *rc::gen::inRange(1U, 60U);
         const auto burst = *rc::gen::inRange(0U, 60U);
@@ -430,9 +431,9 @@
     }));
 }
 
-// One workspace's keys at thirty daemons, each of which is asked less than once a second: six tenths of the
-// limit altogether, as a customer's usual load is beside a limit that was set with room.
-TEST(rate_limits, refuse_nothing_below_the_limit_however_thin_the_demand_is_spread) {
+// One workspace's keys are used at thirty daemons, less than once a second at each: 60 % of the limit in
+// total, a typical load for a limit with reserve.
+TEST(rate_limits, admit_demand_below_the_limit_spread_over_daemons) {
     table t;
     t.workspaces = {{.id = {"acme"}, .rate = 15, .burst = 15}};
     const rate_bounds bounds{.window = seconds{5}, .overshoot = 0.1, .tolerance = 20};
@@ -443,7 +444,7 @@
     std::vector<std::uint64_t> seqs(daemons.size());
     std::mt19937_64 random(7);
     std::size_t refused = 0;
-    for (int tick = 0; tick < 6000; ++tick) { // a minute
+    for (int tick = 0; tick < 6000; ++tick) { // one minute
         now += milliseconds{10};
         for (std::size_t i = 0; i < daemons.size(); ++i) {
             const bool asked = std::uniform_real_distribution<double>(0, 1)(random) < 9.0 / 30 * 0.01;
@@ -473,7 +474,8 @@
     EXPECT_EQ(refused, 0U);
 }
 
-// One workspace, ten a second and ten at once, without any tolerance, and control that has counted for long.
+// One workspace with a rate of ten a second, a burst of ten and no tolerance; control has counted for longer
+// than grant_lifetime.
 struct strict_control {
     table t;
     rate_ledger ledger;
@@ -485,27 +487,28 @@
     }
     std::vector<rate_grant> ask(const std::string& daemon, std::uint64_t seq, const rate_claim& claim) {
         return answer_rate_request(ledger, t, {.bounds = {}, .prior_grants_expired = false},
-                            {.instance = {daemon}, .incarnation = 1, .seq = seq, .claims = {claim}}, now);
+                                   {.instance = {daemon}, .incarnation = 1, .seq = seq, .claims = {claim}},
+                                   now);
     }
 };
 
-TEST(rate_limits, count_what_an_earlier_leader_may_have_given_out) {
+TEST(rate_limits, count_grants_of_an_earlier_leader) {
     strict_control c;
     EXPECT_EQ(c.ask("a", 1, {.workspace = {"acme"}, .needed = 10}).at(0).operations, 10U);
-    c.ledger = {}; // another leader, which has not heard of "a"
+    c.ledger = {}; // new leader without knowledge of "a"
     c.ledger.term_started_at = c.now;
-    c.now += milliseconds{900}; // "a" may let its ten through even now
+    c.now += milliseconds{900}; // "a" may still admit its ten operations
     EXPECT_EQ(c.ask("b", 1, {.workspace = {"acme"}, .needed = 10}).at(0).operations, 0U);
     c.now += seconds{2};
     EXPECT_EQ(c.ask("b", 2, {.workspace = {"acme"}, .needed = 10}).at(0).operations, 10U);
 }
 
-TEST(rate_limits, what_a_silent_daemon_holds_ends_there_before_control_gives_it_to_others) {
+TEST(rate_limits, expire_at_a_silent_daemon_before_control_reuses_them) {
     strict_control c;
     rate_holding a;
     apply_limit(a, c.t.workspaces.front());
     apply_grant(a, c.ask("a", 1, {.workspace = {"acme"}, .needed = 10}).at(0), c.now);
-    c.now += milliseconds{985}; // within the drift of two clocks of a second
+    c.now += milliseconds{985}; // within the tolerated clock drift over one second
     EXPECT_TRUE(take_operation(a, c.now));
     EXPECT_EQ(c.ask("b", 1, {.workspace = {"acme"}, .needed = 10}).at(0).operations, 0U);
     c.now += milliseconds{6};
@@ -517,20 +520,20 @@
     EXPECT_GE(c.ask("b", 3, {.workspace = {"acme"}, .needed = 10}).at(0).operations, 9U);
 }
 
-TEST(rate_limits, count_operations_that_may_yet_be_given_back) {
+TEST(rate_limits, count_operations_that_may_be_returned) {
     strict_control c;
     EXPECT_EQ(c.ask("a", 1, {.workspace = {"acme"}, .needed = 10}).at(0).operations, 10U);
     c.now += milliseconds{900};
     EXPECT_EQ(c.ask("a", 2, {.workspace = {"acme"}, .running = 10, .needed = 5}).at(0).operations, 0U);
 }
 
-TEST(rate_limits, a_claim_that_a_newer_one_has_overtaken_changes_nothing) {
+TEST(rate_limits, ignore_stale_claims) {
     strict_control c;
     EXPECT_EQ(c.ask("a", 2, {.workspace = {"acme"}, .needed = 10}).at(0).operations, 10U);
     EXPECT_TRUE(c.ask("a", 1, {.workspace = {"acme"}, .returned = 10}).empty());
 }
 
-TEST(rate_limits, beyond_the_limit_tell_when_the_next_operation_can_be_had) {
+TEST(rate_limits, return_retry_after_beyond_the_limit) {
     table t;
     t.workspaces = {{.id = {"acme"}, .rate = 4, .burst = 1}};
     rate_ledger ledger;
@@ -543,7 +546,7 @@
     EXPECT_EQ(grants.at(0).retry_after, milliseconds{250});
 }
 
-TEST(rate_limits, a_lowered_limit_drops_what_was_given_under_the_old_one) {
+TEST(rate_limits, drop_held_operations_when_lowered) {
     rate_holding h;
     const time_point now{seconds{100}};
     apply_limit(h, {.id = {"acme"}, .rate = 100, .burst = 50});
