--- a/src/core/result_codes.hpp
+++ b/src/core/result_codes.hpp
@@ -1,5 +1,5 @@
-// Numbered result codes: what a caller, an operator and a log line show. docs/ERRORS.md is the same
-// table in words; a test compares the two.
+// Numbered result codes, as shown to clients and operators and in log lines. docs/ERRORS.md documents the
+// same table; a test compares the two.
 #pragma once
 
 #include <cstdint>
@@ -10,7 +10,7 @@
 
 enum class result_code : std::uint16_t {
     ok = 0,
-    // 1000: starting up, settings, files
+    // 1000: startup, settings, files
     settings_unreadable = 1001,
     settings_unknown_key = 1002,
     settings_wrong_type = 1003,
@@ -20,7 +20,7 @@
     data_folder_unusable = 1007,
     log_damaged = 1008,
     bad_command_line = 1009,
-    // 2000: control and the table
+    // 2000: control plane and the table
     not_leader = 2001,
     no_quorum = 2002,
     revision_conflict = 2003,
@@ -48,7 +48,7 @@
     not_safe_yet = 3014,
     server_left = 3015,
     rate_limited = 3016,
-    // 4000: the callers' protocol
+    // 4000: client protocol
     unsupported = 4001,
     protocol_violation = 4002,
     bad_setting = 4003,
@@ -59,15 +59,15 @@
 
 // Whether a request took effect, as far as larchpin can prove it.
 enum class run_state : std::uint8_t {
-    not_run, // proved: it did not and will not take effect
-    ran,     // proved: it took effect
-    unknown, // neither is proved
+    not_run, // proved: the request did not and will not take effect
+    ran,     // proved: the request took effect
+    unknown, // neither outcome is proved
 };
 
 struct result_code_entry {
     result_code code;
     std::string_view name;
-    std::string_view sqlstate; // what a caller sees in field C
+    std::string_view sqlstate; // sent to the client in error field C
     std::string_view meaning;
 };
 
--- a/src/core/routing.cpp
+++ b/src/core/routing.cpp
@@ -9,19 +9,19 @@
 
 constexpr double ns_per_ms = 1e6;
 constexpr double high_failure_share = 0.5;
-// A renewal takes a round trip, and another one after a change of leader.
+// Covers a lease renewal, which takes one round trip, or two after a change of leader.
 constexpr duration max_lease_wait = std::chrono::milliseconds{30};
 
 double to_ms(duration d) {
     return static_cast<double>(d.count()) / ns_per_ms;
 }
 
-// In milliseconds.
+// Returns the expected delay of a read in milliseconds.
 double expected_delay(const server_view& s, const routing_settings& settings) {
     if (s.load) {
         return to_ms(expected_completion(*s.load));
     }
-    // One that has not been tried yet counts as fast, or it would never be tried.
+    // A server without samples counts as fast; otherwise it would never be tried.
     const double latency = to_ms(s.latency);
     const double queue = 1.0 + s.outstanding;
     return latency * queue * (s.same_domain ? 1.0 : settings.cross_domain_penalty);
@@ -47,11 +47,13 @@
     return candidates.back();
 }
 
-// Without a lease nobody knows whether the primary has been replaced. It is then one more server that holds
-// what it is known to hold, but only for reads that surely write nothing: it would not refuse a write.
+// Returns true if the server may serve reads, apart from an ejection. Without a lease this daemon cannot tell
+// whether the primary has been replaced. `allow_primary` then treats it like a replica at its last known
+// position, but only for statements that are certain not to write, because the primary would not refuse a
+// write.
 bool is_read_candidate(const group_view& g, const server_view& s, bool allow_primary) {
-    return (s.id != g.record.primary || allow_primary) && s.weight > 0 && s.slow_start_factor > 0 && !s.leaving &&
-           !s.unresponsive && s.has_connections;
+    return (s.id != g.record.primary || allow_primary) && s.weight > 0 && s.slow_start_factor > 0 &&
+           !s.leaving && !s.unresponsive && s.has_connections;
 }
 
 bool may_take_reads(const group_view& g, const server_view& s, bool allow_primary, time_point now) {
@@ -79,26 +81,29 @@
     return decision;
 }
 
-// Of two drawn by weight, the one with the smaller expected delay. Where some are near, one of the two is, so
-// that a read stays in its failure domain unless the far one is quicker by more than its penalty.
-const server_view& choose_by_latency(const std::vector<const server_view*>& candidates, const routing_settings& settings,
-                                 std::mt19937_64& random) {
+// Returns the one with the smaller expected delay of two servers drawn by weight (power of two choices). One
+// of the two is in the local failure domain if possible, so a read leaves the domain only if the remote
+// server is faster by more than the cross-domain penalty.
+const server_view& choose_by_latency(const std::vector<const server_view*>& candidates,
+                                     const routing_settings& settings, std::mt19937_64& random) {
     std::vector<const server_view*> local_servers;
     std::vector<const server_view*> remote_servers;
     for (const server_view* s : candidates) {
         (s->same_domain ? local_servers : remote_servers).push_back(s);
     }
     const server_view* first = draw_weighted(local_servers.empty() ? remote_servers : local_servers, random);
-    const server_view* second = draw_weighted(remote_servers.empty() ? local_servers : remote_servers, random);
+    const server_view* second =
+        draw_weighted(remote_servers.empty() ? local_servers : remote_servers, random);
     return expected_delay(*second, settings) < expected_delay(*first, settings) ? *second : *first;
 }
 
-// True with this probability; outside 0..1 never, or always.
+// Returns true with this probability: never for 0 or less, always for 1 or more.
 bool with_probability(double probability, std::mt19937_64& random) {
     return std::uniform_real_distribution<double>(0, 1)(random) < probability;
 }
 
-// What is not known counts as the quickest that is, or it would never be known.
+// Returns the expected delays in milliseconds. An unknown delay counts as the lowest known one; otherwise the
+// server would never be used and its delay would stay unknown.
 std::vector<double> expected_delays(const std::vector<const server_view*>& candidates,
                                     const routing_settings& settings) {
     std::vector<double> delays;
@@ -116,10 +121,11 @@
     return delays;
 }
 
-// Drawn by the inverse square of the expected time. A far one costs a border crossing, so it gets reads only
-// as far as it is quicker than the near ones, and its full weight where they take twice as long.
-const server_view& choose_by_load(const std::vector<const server_view*>& candidates, const routing_settings& settings,
-                               std::mt19937_64& random) {
+// Draws a server by the inverse square of its expected delay. A remote server costs traffic between failure
+// domains. It gets reads only if it is faster than the local servers, and its full weight once they take
+// twice as long.
+const server_view& choose_by_load(const std::vector<const server_view*>& candidates,
+                                  const routing_settings& settings, std::mt19937_64& random) {
     const std::vector<double> delays = expected_delays(candidates, settings);
     double lowest_local_delay = 0;
     for (std::size_t i = 0; i < candidates.size(); ++i) {
@@ -129,34 +135,43 @@
     }
     std::vector<double> weights;
     for (std::size_t i = 0; i < candidates.size(); ++i) {
-        const double locality_factor =
-            candidates[i]->same_domain || lowest_local_delay == 0 ? 1.0 : std::clamp(lowest_local_delay / delays[i] - 1.0, 0.0, 1.0);
+        const double locality_factor = candidates[i]->same_domain || lowest_local_delay == 0
+                                           ? 1.0
+                                           : std::clamp(lowest_local_delay / delays[i] - 1.0, 0.0, 1.0);
         weights.push_back(selection_weight(*candidates[i]) * locality_factor / (delays[i] * delays[i]));
     }
     return *candidates[std::discrete_distribution<std::size_t>(weights.begin(), weights.end())(random)];
 }
 
-const server_view& choose_server(const std::vector<const server_view*>& candidates, const routing_settings& settings,
-                          std::mt19937_64& random) {
-    const bool any_load_known = std::any_of(candidates.begin(), candidates.end(), [](const auto* s) { return s->load.has_value(); });
-    return any_load_known ? choose_by_load(candidates, settings, random) : choose_by_latency(candidates, settings, random);
+const server_view& choose_server(const std::vector<const server_view*>& candidates,
+                                 const routing_settings& settings, std::mt19937_64& random) {
+    const bool any_load_known =
+        std::any_of(candidates.begin(), candidates.end(), [](const auto* s) { return s->load.has_value(); });
+    return any_load_known ? choose_by_load(candidates, settings, random)
+                          : choose_by_latency(candidates, settings, random);
 }
 
-// The replica that a workspace prefers, the same one on every instance; nothing where that is clearly slower
-// than another one. Where loads are told all instances see that at the same time, and leave it by and by.
-const server_view* preferred_for_workspace(const std::vector<const server_view*>& candidates, const workspace_id& workspace,
-                          const routing_settings& settings, std::mt19937_64& random) {
+// Returns the preferred replica of a workspace (rendezvous hashing, so the same on every instance), or
+// nullptr if it is clearly slower than another replica. Where loads are reported, all instances see a
+// slowdown at the same time, so the probability of the preferred replica decreases gradually.
+const server_view* preferred_for_workspace(const std::vector<const server_view*>& candidates,
+                                           const workspace_id& workspace, const routing_settings& settings,
+                                           std::mt19937_64& random) {
     const auto rank = [&](const server_view* s) { return stable_hash(workspace.value, s->id.value); };
-    const server_view* preferred = *std::min_element(
-        candidates.begin(), candidates.end(), [&](const auto* a, const auto* b) { return rank(a) < rank(b); });
+    const server_view* preferred =
+        *std::min_element(candidates.begin(), candidates.end(),
+                          [&](const auto* a, const auto* b) { return rank(a) < rank(b); });
     const auto delay = [&](const server_view* s) {
-        return expected_delay(*s, settings) / (s->same_domain || s->load ? 1.0 : settings.cross_domain_penalty);
+        return expected_delay(*s, settings) /
+               (s->same_domain || s->load ? 1.0 : settings.cross_domain_penalty);
     };
-    const server_view* fastest = *std::min_element(
-        candidates.begin(), candidates.end(), [&](const auto* a, const auto* b) { return delay(a) < delay(b); });
+    const server_view* fastest =
+        *std::min_element(candidates.begin(), candidates.end(),
+                          [&](const auto* a, const auto* b) { return delay(a) < delay(b); });
     if (preferred->load && fastest->load) {
         const double delay_ratio = delay(preferred) / std::max(delay(fastest), 1.0);
-        return with_probability(1.5 - delay_ratio / settings.workspace_affinity_factor, random) ? preferred : nullptr;
+        return with_probability(1.5 - delay_ratio / settings.workspace_affinity_factor, random) ? preferred
+                                                                                                : nullptr;
     }
     return delay(preferred) <= settings.workspace_affinity_factor * delay(fastest) ? preferred : nullptr;
 }
@@ -171,13 +186,15 @@
     return found == g.servers.end() ? nullptr : &*found;
 }
 
-// Nothing of this daemon has gone there lately, so what it saw there last may be long over.
+// Returns true if this daemon has sent the server no request for a while, so its last latency may be
+// outdated.
 bool is_due_for_trial(const server_view& s, const read_context& context, const routing_settings& settings) {
     const bool used_before = s.last_request_at != time_point{};
-    return used_before && s.outstanding == 0 && context.now - s.last_request_at > settings.replica_trial_interval;
+    return used_before && s.outstanding == 0 &&
+           context.now - s.last_request_at > settings.replica_trial_interval;
 }
 
-// The primary may be read, and answers as far as is known.
+// Returns true if the primary may serve reads and is not known to fail most of its requests.
 bool can_read_from_primary(const group_view& g, const read_context& context) {
     const server_view* primary = find_primary(g);
     return primary != nullptr && !is_excluded(context, primary->id) &&
@@ -195,22 +212,27 @@
     const double replica_delay = expected_delay(replica, settings);
     const double primary_delay = expected_delay(*primary, settings);
     if (replica.load && !primary->load) {
-        return false; // nobody tells that it is idle
+        return false; // the primary's load is unknown
     }
     if (replica.load) {
-        // The primary's queue is for writes. The better it looks the more reads it gets, up to their half.
+        // The primary's queue is reserved for writes, so it gets reads only while its queue is short. Its
+        // share of the reads grows with its advantage up to max_primary_read_share.
         const double delay_ratio = replica_delay / std::max(primary_delay, 1.0);
         return has_free_slot(*primary->load) &&
-               with_probability(std::min(2 * delay_ratio / settings.primary_delay_factor - 1, settings.max_primary_read_share),
-                       random);
+               with_probability(std::min(2 * delay_ratio / settings.primary_delay_factor - 1,
+                                         settings.max_primary_read_share),
+                                random);
     }
-    return replica_delay > settings.primary_delay_factor * primary_delay && !is_due_for_trial(replica, context, settings);
+    return replica_delay > settings.primary_delay_factor * primary_delay &&
+           !is_due_for_trial(replica, context, settings);
 }
 
-// The replicas that may hold what is asked for. Where all are ejected, the one that comes back first: the
-// primary alone has no room for all reads, and what failed here may be well for everyone else.
-std::vector<const server_view*> servers_likely_to_hold(const group_view& g, const read_context& context, log_position floor,
-                                               const routing_settings& settings, std::mt19937_64& random) {
+// Returns the servers that have probably reached the floor. If all are ejected, the one whose ejection ends
+// first is considered: the primary alone has no capacity for all reads, and the ejected servers may work for
+// other daemons.
+std::vector<const server_view*> servers_likely_to_hold(const group_view& g, const read_context& context,
+                                                       log_position floor, const routing_settings& settings,
+                                                       std::mt19937_64& random) {
     std::vector<const server_view*> usable;
     for (const server_view& server : g.servers) {
         if (is_read_candidate(g, server, !context.lease_live) && !is_excluded(context, server.id)) {
@@ -225,18 +247,18 @@
     } else {
         std::erase_if(usable, is_ejected);
     }
-    const auto holds = [&](const server_view* s, duration trust) {
+    const auto has_reached = [&](const server_view* s, duration trust) {
         return likely_has_position(*g.positions, s->id, g.record.timeline, floor, context.now, trust);
     };
     std::vector<const server_view*> candidates;
     for (const server_view* s : usable) {
-        if (holds(s, settings.position_max_age)) {
+        if (has_reached(s, settings.position_max_age)) {
             candidates.push_back(s);
         }
     }
     if (candidates.empty() && with_probability(settings.position_trial_probability, random)) {
         for (const server_view* s : usable) {
-            if (s->load && holds(s, settings.position_trial_min_age)) {
+            if (s->load && has_reached(s, settings.position_trial_min_age)) {
                 candidates.push_back(s);
             }
         }
@@ -244,7 +266,8 @@
     return candidates;
 }
 
-// Servers that refuse what they do not hold make the choice simple: the floor goes with the request.
+// Routes a read to a server that enforces the floor. The request carries the floor, and a server that has not
+// reached it refuses the request, so the selection may rely on estimated positions.
 routing_decision route_with_floor(const group_view& g, const session_state& s, const read_context& context,
                                   const routing_settings& settings, std::mt19937_64& random) {
     const auto floor = required_position(g, s, context);
@@ -255,20 +278,23 @@
         }
         return decision;
     }
-    const std::vector<const server_view*> candidates = servers_likely_to_hold(g, context, *floor, settings, random);
+    const std::vector<const server_view*> candidates =
+        servers_likely_to_hold(g, context, *floor, settings, random);
     if (candidates.empty()) {
         return route_write(g, context.lease_live);
     }
-    const server_view* preferred =
-        s.workspace.value.empty() ? nullptr : preferred_for_workspace(candidates, s.workspace, settings, random);
-    const server_view& chosen = preferred != nullptr ? *preferred : choose_server(candidates, settings, random);
-    // Where all replicas fail, what still goes there is what it takes to see one recover.
+    const server_view* preferred = s.workspace.value.empty()
+                                       ? nullptr
+                                       : preferred_for_workspace(candidates, s.workspace, settings, random);
+    const server_view& chosen =
+        preferred != nullptr ? *preferred : choose_server(candidates, settings, random);
+    // If all replicas fail, only a small share of the reads still goes to them, to detect their recovery.
     const bool all_fail = std::all_of(candidates.begin(), candidates.end(), [](const server_view* v) {
         return v->load && v->load->load.failure_ratio > high_failure_share;
     });
     const bool primary_available = all_fail && can_read_from_primary(g, context);
     if (primary_available ? with_probability(1 - settings.failing_replica_trial_share, random)
-                       : prefers_primary(g, chosen, context, settings, random)) {
+                          : prefers_primary(g, chosen, context, settings, random)) {
         return route_write(g, context.lease_live);
     }
     routing_decision decision = to_server(chosen.id, false);
@@ -281,19 +307,21 @@
     return position && token.term <= g.record.term && *position >= token.position;
 }
 
-// After a read the session stays with that server until it is known how far it saw.
+// Returns true if reading here keeps reads monotonic: a session stays with the server of its last read until
+// the position that the read observed is known.
 bool preserves_monotonic_reads(const server_view& server, const session_state& s) {
     return !s.last_read || s.last_read->server == server.id;
 }
 
 } // namespace
 
-bool satisfies_consistency(const group_view& g, const server_view& server, const session_state& s, duration staleness,
-               time_point now) {
+bool satisfies_consistency(const group_view& g, const server_view& server, const session_state& s,
+                           duration staleness, time_point now) {
     if (staleness <= duration{0}) {
         return preserves_monotonic_reads(server, s) && s.floor && has_reached(g, server, *s.floor);
     }
-    // Read-your-writes holds beside a stated age: the age only frees the session from others' writes.
+    // A staleness bound relaxes only the visibility of other sessions' writes; read-your-writes still
+    // applies.
     if (s.written && !has_reached(g, server, *s.written)) {
         return false;
     }
@@ -315,8 +343,8 @@
     if (g.record.phase != group_phase::serving || g.record.primary.value.empty()) {
         return refuse(result_code::no_primary);
     }
-    // Control replaces a primary that leaves as soon as another server can take over. Until one can, the
-    // promise to the leaving one goes before service.
+    // The control plane replaces a leaving primary as soon as another server can take over. Until then, the
+    // deadline promised to the leaving server takes precedence over availability.
     const auto primary = std::find_if(g.servers.begin(), g.servers.end(),
                                       [&g](const server_view& s) { return s.id == g.record.primary; });
     if (primary != g.servers.end() && primary->leave_deadline_passed) {
@@ -331,10 +359,10 @@
 
 std::optional<log_position> required_position(const group_view& g, const session_state& s,
                                               const read_context& context) {
-    const auto common_position =
-        context.staleness <= duration{0}
-            ? primary_position_since(*g.positions, g.record.term, s.arrived_at)
-            : oldest_primary_position_since(*g.positions, g.record.term, context.arrived_at - context.staleness);
+    const auto common_position = context.staleness <= duration{0}
+                                     ? primary_position_since(*g.positions, g.record.term, s.arrived_at)
+                                     : oldest_primary_position_since(*g.positions, g.record.term,
+                                                                     context.arrived_at - context.staleness);
     if (!common_position) {
         return std::nullopt;
     }
@@ -365,9 +393,10 @@
         return to_server(choose_server(candidates, settings, random).id, false);
     }
     routing_decision primary = route_write(g, context.lease_live);
-    const bool may_still_wait = any_usable && context.now - context.arrived_at < settings.replica_catchup_timeout;
+    const bool may_still_wait =
+        any_usable && context.now - context.arrived_at < settings.replica_catchup_timeout;
     if (primary.kind == target_kind::refuse || may_still_wait) {
-        // Without a primary a replica may yet catch up; the caller's deadline ends that.
+        // Without a primary, a replica may still catch up; the wait ends at the client's deadline.
         return any_usable ? wait_until(context.now + settings.position_poll_interval) : primary;
     }
     return primary;
--- a/src/core/session.cpp
+++ b/src/core/session.cpp
@@ -10,7 +10,8 @@
 constexpr std::int64_t max_setting_ms = 3'600'000;
 constexpr std::size_t max_idempotency_key_length = 200;
 constexpr int hexadecimal = 16;
-// Of classes between instances; never changed, since instances of several versions talk to each other.
+// Request class numbers in messages between instances. They must not change, because instances of different
+// versions communicate with each other.
 constexpr std::uint32_t critical_wire_number = 0;
 constexpr std::uint32_t normal_wire_number = 1;
 constexpr std::uint32_t background_wire_number = 2;
@@ -59,7 +60,7 @@
 }
 
 void raise_token(std::optional<session_token>& token, const group_id& group, term_number term,
-           log_position position) {
+                 log_position position) {
     if (!token || term > token->term) {
         token = session_token{.group = group, .term = term, .position = position};
     } else if (term == token->term) {
@@ -77,7 +78,8 @@
     raise_observed(s, term, position);
 }
 
-// Positions beyond the start of a later term mean nothing in it.
+// Moves a token to the group's current term. Positions beyond the start of a later term do not exist in that
+// term, so the position is capped at the last one that survived.
 void move_to_term(std::optional<session_token>& token, const group_record& group) {
     if (!token || token->term >= group.term) {
         return;
@@ -98,7 +100,7 @@
     if (!token || token->group != s.group) {
         return false;
     }
-    // A token never lowers what this session has seen itself.
+    // A token never lowers the positions that this session has observed itself.
     raise_written(s, token->term, token->position);
     return true;
 }
@@ -130,7 +132,7 @@
     session_token token;
     token.group.value = std::string(text.substr(0, middle));
     const bool parsed = parse_number(text.substr(middle + 1, last - middle - 1), token.term) &&
-                      parse_number(text.substr(last + 1), token.position, hexadecimal);
+                        parse_number(text.substr(last + 1), token.position, hexadecimal);
     return parsed ? std::optional{token} : std::nullopt;
 }
 
@@ -199,7 +201,7 @@
 
 void apply_positions(session_state& s, const group_record& group, const group_positions& positions) {
     if (has_lost_write(s, group)) {
-        return; // news of a later term must not cover up what was lost with an earlier one
+        return; // positions of a later term must not hide the loss of an earlier one
     }
     adopt_term(s, group);
     if (!s.floor) {
@@ -219,7 +221,8 @@
     if (newest.timeline == group.timeline) {
         raise_observed(s, group.term, newest.position);
     } else if (newest.timeline < group.timeline && !group.term_starts.empty()) {
-        // The server has not followed a new primary yet: of what it showed, this much has survived.
+        // The server does not follow the new primary yet. Only positions up to the start of the new term have
+        // survived.
         raise_token(s.floor, s.group, group.term, std::min(newest.position, group.term_starts.back().position));
     }
     s.last_read.reset();
--- a/src/core/session.hpp
+++ b/src/core/session.hpp
@@ -1,14 +1,15 @@
-// What one caller's session has seen, what it asked for, and what that demands of the next read.
+// Tracks what a client session has observed and requested, and the consistency that its next read requires.
 //
-// Read-your-writes: `floor` is at or beyond every write of the session. Monotonic reads, for sessions that
-// state no age: after a read the session may have seen more than the floor says, so it stays with that server
-// until a sample of it, asked after the read, tells how far that was (see apply_positions()). A session that
-// states an age is owed its own writes and that age, nothing more: it may go back within the age. Otherwise
-// one read on the primary would bind it to the primary for as long as it goes on reading.
+// Read-your-writes: `floor` is at or beyond every write of the session. Monotonic reads, for sessions without
+// a staleness bound: a read may have observed more than the floor, so the session stays with that server
+// until a position sample of it, requested after the read, bounds what was observed (see apply_positions()).
+// A session with a staleness bound is guaranteed only its own writes and that bound, and may go back in time
+// within it. Without this exception, one read on the primary would bind the session to the primary for as
+// long as it reads.
 //
-// The token "group/term/position" (position in hex) carries the floor to another proxy. A session that
-// comes without one first learns the primary's position asked after its arrival: every write that was
-// acknowledged to anyone before is then below its floor.
+// The token "group/term/position" (position in hex) carries the floor to another proxy. A session without a
+// token first obtains the primary's position, requested after the session's arrival. Every write that was
+// acknowledged before that, to any client, is then below its floor.
 //
 // Index
 //   [data]  [functions]
@@ -27,25 +28,25 @@
 // [data]
 //-----------------------------------------------------------------------------
 
-// In the order in which they go before each other. Other instances are told by numbers of their own
+// Request classes in order of priority, highest first. Messages between instances use other numbers
 // (wire_class).
 enum class request_class : std::uint8_t { urgent = 0, critical = 1, normal = 2, background = 3 };
 constexpr std::size_t request_class_count = 4;
 
 enum class read_mode : std::uint8_t {
-    hint,    // by the statement's first word
-    read,    // the caller vouches that its statements only read
-    primary, // everything to the primary
+    hint,    // classified by the statement's first word
+    read,    // the client guarantees that its statements only read
+    primary, // all statements go to the primary
 };
 
-// What the caller set with "set larchpin.x = y" or in the startup options.
+// Settings that the client made with "set larchpin.x = y" or in the startup options.
 struct session_settings {
     request_class klass = request_class::normal; // larchpin.class = urgent | critical | normal | background
     read_mode mode = read_mode::hint;            // larchpin.read_mode = hint | read | primary
-    std::optional<duration> max_staleness;       // larchpin.max_staleness_ms, 0: read-your-writes
+    std::optional<duration> max_staleness;       // larchpin.max_staleness_ms; 0 = read-your-writes
     std::optional<duration> deadline;            // larchpin.deadline_ms
-    std::string idempotency_key;                 // larchpin.idempotency_key, used up by one request
-    bool ignore_lost_writes = false; // goes on after a failover that lost what it wrote; set by fronts
+    std::string idempotency_key;                 // larchpin.idempotency_key; applies to one request
+    bool ignore_lost_writes = false; // continue after a failover that lost writes; set by protocol front ends
     auto operator<=>(const session_settings&) const = default;
 };
 
@@ -65,13 +66,13 @@
 struct session_state {
     group_id group;
     service_id service;
-    workspace_id workspace; // whose requests these are; empty: the table names none
+    workspace_id workspace; // owner of the requests; empty = the table has no workspaces
     time_point arrived_at{};
     session_settings settings;
-    std::optional<session_token> floor; // a read must show at least this; none: not known yet, see above
-    std::optional<session_token> observed; // what it wrote, or may have read
-    std::optional<session_token> written; // what it wrote; the token that the caller gets
-    std::optional<unresolved_read> last_read;      // a read whose position is not known yet
+    std::optional<session_token> floor; // lower bound for the next read; nullopt = not known yet, see above
+    std::optional<session_token> observed;    // upper bound of what the session wrote or read
+    std::optional<session_token> written;     // last write; sent to the client as its token
+    std::optional<unresolved_read> last_read; // last read, until its position is known
 };
 
 //-----------------------------------------------------------------------------
@@ -81,40 +82,41 @@
 std::string format_token(const session_token& token);
 std::optional<session_token> parse_token(std::string_view text);
 
-// What a route says holds until the caller sets something else.
+// Applies the settings of a route as defaults, which the client may override.
 void apply_route(session_settings& settings, const route_entry& route);
 
-// A class as other instances are told of it. Urgent has the number of critical and a flag beside it: an
-// instance that does not know the flag takes an urgent request for a critical one.
+// Encoding of a request class in messages between instances. `urgent` is encoded as `critical` with a flag,
+// so an older instance without the flag treats an urgent request as critical.
 struct wire_class {
     std::uint32_t number = 0;
-    bool urgent = false; // beside the number; those that do not know it pass over it
+    bool urgent = false; // ignored by older instances
     auto operator<=>(const wire_class&) const = default;
 };
 wire_class to_wire_class(request_class klass);
-std::optional<request_class> from_wire_class(const wire_class& wire); // nothing for an unknown number
+std::optional<request_class> from_wire_class(const wire_class& wire); // nullopt for an unknown number
 
-// Takes one "larchpin.*" setting; `name` without the prefix. False for an unknown name or a bad value.
-// "session" takes a token, or an empty text to forget what was seen.
+// Applies one "larchpin.*" setting; `name` is without the prefix. Returns false for an unknown name or an
+// invalid value. The value of "session" is a token, or empty to reset what the session has observed.
 bool apply_setting(session_state& s, std::string_view name, const std::string& value);
 
-// The session wrote, and the primary of this term was at `position` afterwards.
+// Records a write, after which the primary of this term was at `position`.
 void note_write(session_state& s, term_number term, log_position position);
 
-// The session read from this server; what it saw is at most the server's position from now on.
+// Records a read from this server. Any later position of the server bounds what the read observed.
 void note_read(session_state& s, const server_id& server, time_point finished_at);
 
-// Takes up what newer samples tell: the floor of a session that arrived without a token, and how far the
-// last read may have seen.
+// Updates the session from newer position samples: the floor of a session without a token, and the position
+// that the last read may have observed.
 void apply_positions(session_state& s, const group_record& group, const group_positions& positions);
 
-// A session that wrote, or may have read, beyond what a later term kept: that is lost. One that has merely
-// arrived has lost nothing, however far its floor was.
+// Returns true if the session wrote, or may have read, a position that did not survive into a later term. A
+// session that has neither written nor read has lost nothing, whatever its floor.
 bool has_lost_write(const session_state& s, const group_record& group);
 
-// Moves the session into the group's current term once nothing of it was lost.
+// Moves the session to the group's current term unless the session has lost a write.
 void adopt_term(session_state& s, const group_record& group);
 
+// Return the session's setting, or the service's default if the session has none.
 duration effective_deadline(const session_state& s, const service_entry& service);
 duration effective_max_staleness(const session_state& s, const service_entry& service);
 
--- a/src/core/session_context.cpp
+++ b/src/core/session_context.cpp
@@ -21,9 +21,9 @@
                                        const std::map<std::string, std::string>& values,
                                        const std::optional<prepared_statement>& statement) {
     std::vector<context_step> steps;
-    // A single value cannot be unset, so a value too many costs a reset of everything.
+    // A single value cannot be unset, so any extra value on the connection requires a full reset.
     const bool needs_reset = std::any_of(current.values.begin(), current.values.end(),
-                                      [&values](const auto& v) { return !values.contains(v.first); });
+                                         [&values](const auto& v) { return !values.contains(v.first); });
     if (needs_reset) {
         steps.push_back({.kind = context_step_kind::reset, .name = {}, .value = {}, .statement = {}});
     }
--- a/src/core/statement.cpp
+++ b/src/core/statement.cpp
@@ -22,7 +22,7 @@
     return lower;
 }
 
-// Skips white space, "--" and "/* */" comments and opening parentheses.
+// Skips whitespace, "--" and "/* */" comments and opening parentheses.
 std::string_view skip_blank(std::string_view text) {
     while (!text.empty()) {
         if (is_space(text.front()) || text.front() == '(') {
@@ -67,7 +67,8 @@
     return false;
 }
 
-// True for "a; b". A semicolon in a literal counts too: that costs a trip to the primary, nothing else.
+// Returns true for "a; b". A semicolon in a literal also counts; this only routes the statement to the
+// primary.
 bool has_several_statements(std::string_view text) {
     const auto semicolon = text.find(';');
     return semicolon != std::string_view::npos && !skip_blank(text.substr(semicolon + 1)).empty();
@@ -159,7 +160,7 @@
 std::string_view unsupported_feature(std::string_view text) {
     std::string_view rest = text;
     const std::string first = take_word(rest);
-    // "lock" and "declare" end with their transaction; the others outlive it.
+    // The effects of "lock" and "declare" end with the transaction; those of the other words outlive it.
     const auto* word = std::find(unsupported_words.begin(), unsupported_words.end(), first);
     if (word != unsupported_words.end() && first != "lock" && first != "declare") {
         return *word;
--- a/tests/core_test.cpp
+++ b/tests/core_test.cpp
@@ -1,4 +1,4 @@
-// Properties of the smaller parts of the core.
+// Tests of the smaller modules of the core.
 //
 // Index
 //   [table]  [shares]  [pool]  [lease]  [leaving]  [statements and tokens]  [health]
@@ -34,17 +34,18 @@
     return e;
 }
 
-TEST(table, of_two_edits_on_one_revision_one_wins_and_both_keep_their_answers) {
+TEST(table, second_edit_of_a_revision_conflicts_and_retries_get_the_same_answer) {
     cluster_state s;
     EXPECT_EQ(apply(s, 1, make_edit("a", 0, 5)).code, result_code::ok);
     EXPECT_EQ(apply(s, 2, make_edit("b", 0, 6)).code, result_code::revision_conflict);
     EXPECT_EQ(apply(s, 3, make_edit("a", 0, 5)).table_revision, 1U);
-    EXPECT_EQ(apply(s, 4, make_edit("b", 1, 6)).code, result_code::revision_conflict) << "decided once";
+    EXPECT_EQ(apply(s, 4, make_edit("b", 1, 6)).code, result_code::revision_conflict)
+        << "a retry gets its first answer";
     EXPECT_EQ(s.current_table.services[0].max_connections, 5U);
     EXPECT_EQ(s.table_revision, 1U);
 }
 
-TEST(table, an_invalid_table_is_refused_whole) {
+TEST(table, invalid_table_is_refused_entirely) {
     cluster_state s;
     edit_table e = make_edit("a", 0, 5);
     e.next.services.push_back({.id = {"zoo"}, .max_connections = 0});
@@ -52,7 +53,7 @@
     EXPECT_TRUE(s.current_table.services.empty());
 }
 
-TEST(table, a_late_change_of_a_group_changes_nothing) {
+TEST(table, group_change_of_an_old_term_is_refused) {
     cluster_state s;
     const group_record first{.id = {"g"}, .term = 1, .primary = {"a"}, .timeline = 1, .term_starts = {{1, 0}}};
     apply(s, 1, set_group{.expected_term = 0, .next = first});
@@ -67,7 +68,7 @@
     EXPECT_EQ(s.groups.at({"g"}).primary.value, "b");
 }
 
-TEST(table, positions_beyond_a_later_start_are_lost) {
+TEST(table, positions_beyond_a_later_term_start_do_not_survive) {
     group_record g;
     g.term = 3;
     g.term_starts = {{1, 0}, {2, 500}, {3, 400}};
@@ -80,7 +81,7 @@
 // [shares]
 //-----------------------------------------------------------------------------
 
-TEST(shares, division_is_fair_and_within_the_limit) {
+TEST(shares, division_is_max_min_fair_and_within_the_limit) {
     EXPECT_TRUE(rc::check([](const std::vector<std::uint8_t>& raw) {
         const auto limit = *rc::gen::inRange(0U, 60U);
         const std::vector<unsigned> wanted(raw.begin(), raw.end());
@@ -91,14 +92,15 @@
         for (std::size_t i = 0; i < shares.size(); ++i) {
             RC_ASSERT(shares[i] <= wanted[i]);
             for (std::size_t j = 0; j < shares.size(); ++j) {
-                // Whoever wants more than it has got, has got no less than anyone else, give or take one.
+                // A member with unmet demand has a share no smaller than any other share, up to rounding by
+                // one.
                 RC_ASSERT(shares[i] == wanted[i] || shares[i] + 1 >= shares[j]);
             }
         }
     }));
 }
 
-TEST(shares, a_part_is_what_the_whole_division_gives) {
+TEST(shares, fair_part_equals_the_share_of_the_full_division) {
     EXPECT_TRUE(rc::check("fair part", [] {
         const unsigned limit = *rc::gen::inRange(0U, 60U);
         const unsigned own = *rc::gen::inRange(0U, 70U);
@@ -109,7 +111,7 @@
     }));
 }
 
-TEST(rendezvous, an_instance_that_leaves_moves_only_its_own_servers) {
+TEST(rendezvous, removing_an_instance_moves_only_its_own_servers) {
     std::vector<observer_candidate> live;
     for (int i = 0; i < 12; ++i) {
         live.push_back({.id = {"i" + std::to_string(i)}, .domain = {"d" + std::to_string(i % 3)}});
@@ -131,7 +133,7 @@
 // [pool]
 //-----------------------------------------------------------------------------
 
-// Random use of one pool, against what must hold of it at every moment.
+// Applies random operations to one pool and checks its invariants after each.
 class pool_model {
 public:
     explicit pool_model(std::uint64_t seed) : random_(seed) { p_.max_waiting = 20; }
@@ -154,10 +156,11 @@
             const auto klass = static_cast<request_class>(random_int(3));
             const request_number id = next_request_++;
             open_requests_[id] = klass;
-            request_connection(
-                p_,
-                {.request = id, .klass = klass, .deadline = now_ + std::chrono::milliseconds{random_int(200)}},
-                now_, next_connection_, actions);
+            request_connection(p_,
+                               {.request = id,
+                                .klass = klass,
+                                .deadline = now_ + std::chrono::milliseconds{random_int(200)}},
+                               now_, next_connection_, actions);
         } else if (what == 4 && !opening_.empty()) {
             const connection_number c = *opening_.begin();
             opening_.erase(c);
@@ -201,8 +204,9 @@
                 opening_.erase(closed->connection);
                 busy_.erase(closed->connection);
             } else if (const auto* used = std::get_if<assign_connection>(&a)) {
-                RC_ASSERT(open_requests_.erase(used->request) == 1U);             // answered once
-                RC_ASSERT(busy_.emplace(used->connection, used->request).second); // one request a connection
+                RC_ASSERT(open_requests_.erase(used->request) == 1U); // each request is answered once
+                // A connection serves one request at a time.
+                RC_ASSERT(busy_.emplace(used->connection, used->request).second);
             } else if (const auto* refused = std::get_if<refuse_request>(&a)) {
                 RC_ASSERT(open_requests_.erase(refused->request) == 1U);
             }
@@ -217,9 +221,9 @@
         const bool critical_waits = std::any_of(
             waiting.begin(), waiting.end(), [](const auto& r) { return r.klass <= request_class::critical; });
         const bool serves = p_.idle.empty() || !critical_waits || !may_send(p_.limit, running);
-        RC_ASSERT(serves); // nothing critical waits beside an idle connection that it may use
+        RC_ASSERT(serves); // no critical request waits while it could use an idle connection
         RC_ASSERT(std::includes(p_.busy.begin(), p_.busy.end(), p_.idle_in_transaction.begin(), p_.idle_in_transaction.end()));
-        // By class and deadline, but for one that goes first since it has waited long.
+        // Requests are ordered by class and deadline, except that one long-waiting request may be first.
         auto order = order_requests(p_.queue, now_);
         const auto waits_long = [&](const queued_request& r) {
             return (now_ - r.queued_at) * aging_wait_divisor >= r.deadline - r.queued_at;
@@ -244,7 +248,7 @@
     std::map<request_number, request_class> open_requests_;
 };
 
-TEST(pool, keeps_to_its_share_and_answers_every_request_once) {
+TEST(pool, stays_within_its_share_and_answers_every_request_once) {
     EXPECT_TRUE(rc::check([] {
         pool_model model(*rc::gen::arbitrary<std::uint32_t>());
         for (int i = 0; i < 2000; ++i) {
@@ -253,7 +257,7 @@
     }));
 }
 
-TEST(pool, background_leaves_room_for_the_others) {
+TEST(pool, background_class_leaves_connections_for_other_classes) {
     pool_state p;
     p.background_share = 50;
     connection_number next = 1;
@@ -272,10 +276,10 @@
     request_connection(
         p, {.request = 100, .klass = request_class::critical, .deadline = now + std::chrono::seconds{5}}, now,
         next, actions);
-    EXPECT_EQ(p.busy.size(), 3U) << "the order gets a connection at once";
+    EXPECT_EQ(p.busy.size(), 3U) << "the critical request gets a connection at once";
 }
 
-TEST(pool, keeps_statements_back_from_a_crowded_server_and_sends_urgent_ones_first) {
+TEST(pool, limits_concurrency_at_an_overloaded_server_and_dispatches_by_class_and_deadline) {
     pool_state p;
     connection_number next = 1;
     pool_actions actions;
@@ -294,23 +298,23 @@
     }
     ASSERT_EQ(p.busy.size(), 4U);
     statement_ended(p, 1, {.overloaded = true}, now, next, actions);
-    EXPECT_EQ(p.limit.aimd_limit, 2U) << "half of what ran";
+    EXPECT_EQ(p.limit.aimd_limit, 2U) << "half of the running statements";
     ask(5, request_class::normal, 500);
     ask(6, request_class::normal, 250);
     ask(7, request_class::critical, 500);
     actions.clear();
     release_connection(p, 1, true, std::chrono::milliseconds{20}, now, next, actions);
-    EXPECT_TRUE(actions.empty()) << "three still run";
+    EXPECT_TRUE(actions.empty()) << "three statements still run";
     release_connection(p, 2, true, std::chrono::milliseconds{20}, now, next, actions);
     release_connection(p, 3, true, std::chrono::milliseconds{20}, now, next, actions);
-    EXPECT_EQ(std::get<assign_connection>(actions.at(0)).request, 7U) << "the class goes first";
+    EXPECT_EQ(std::get<assign_connection>(actions.at(0)).request, 7U) << "the higher class is first";
     actions.clear();
     statement_ended(p, 4, {.took = std::chrono::milliseconds{5}, .in_transaction = true}, now, next, actions);
     EXPECT_EQ(std::get<assign_connection>(actions.at(0)).request, 6U)
-        << "a transaction at rest leaves its place, and the nearer deadline is next";
+        << "an idle transaction frees its slot, and the earlier deadline is next";
 }
 
-TEST(running_limit, halves_with_a_refusal_and_grows_back_while_answers_are_quick) {
+TEST(running_limit, halves_on_a_refusal_and_recovers_while_answers_are_fast) {
     running_limit l;
     time_point now{std::chrono::seconds{1}};
     const auto answer_for_a_second = [&](duration took) {
@@ -320,23 +324,23 @@
         }
     };
     answer_for_a_second(std::chrono::milliseconds{20});
-    EXPECT_TRUE(may_send(l, 1000)) << "there is none until a server complains";
+    EXPECT_TRUE(may_send(l, 1000)) << "there is no limit before the first refusal";
     note_overload(l, 16, now);
     note_overload(l, 8, now + std::chrono::milliseconds{10});
-    EXPECT_EQ(l.aimd_limit, 8U) << "refusals of one moment count once";
+    EXPECT_EQ(l.aimd_limit, 8U) << "refusals in quick succession count once";
     answer_for_a_second(std::chrono::milliseconds{200});
     EXPECT_EQ(l.aimd_limit, 8U);
     answer_for_a_second(std::chrono::milliseconds{200});
-    EXPECT_EQ(l.aimd_limit, 9U) << "slow answers: one step in 2 s";
+    EXPECT_EQ(l.aimd_limit, 9U) << "slow answers raise the limit by one in 2 s";
     for (int i = 0; i < 3; ++i) {
         answer_for_a_second(std::chrono::milliseconds{20});
     }
-    EXPECT_EQ(l.aimd_limit, 0U) << "quick answers end it";
+    EXPECT_EQ(l.aimd_limit, 0U) << "fast answers remove the limit";
     note_overload(l, 1, now);
-    EXPECT_EQ(l.aimd_limit, 1U) << "never none";
+    EXPECT_EQ(l.aimd_limit, 1U) << "the limit is at least one";
 }
 
-TEST(running_limit, takes_no_class_of_longer_statements_for_a_crowd) {
+TEST(running_limit, does_not_treat_a_class_of_long_statements_as_overload) {
     running_limit l;
     time_point now{std::chrono::seconds{1}};
     for (int i = 0; i < 400; ++i) {
@@ -348,21 +352,21 @@
     EXPECT_LT(l.slowdown, 1.2);
 }
 
-// The pattern: a primary alone, more work than it can do. Requests of two objectives come, and in the order
-// of deadlines each would wait until it is late.
-TEST(pool, of_more_work_than_can_be_done_the_patient_part_is_refused_and_the_quick_part_is_in_time) {
+// Guards against an overloaded primary that serves every request too late. Requests with two objectives
+// arrive faster than a lone primary can serve them. In deadline order, each would wait until it is late.
+TEST(pool, overload_refuses_long_objectives_and_serves_short_ones_in_time) {
     pool_state p;
     connection_number next = 1;
     pool_actions actions;
     time_point now{std::chrono::seconds{1}};
     set_share(p, 1, now, next, actions);
-    constexpr duration work = std::chrono::milliseconds{20};
+    constexpr duration service_time = std::chrono::milliseconds{20};
     struct outcome {
         unsigned served = 0;
         unsigned refused_at_once = 0;
-        unsigned waited_in_vain = 0;
+        unsigned expired_in_queue = 0;
     };
-    std::map<request_number, std::pair<duration, time_point>> asked; // objective, when
+    std::map<request_number, std::pair<duration, time_point>> requests; // objective and arrival time
     std::map<duration, outcome> outcomes;
     time_point free_at{};
     const auto take = [&] {
@@ -372,12 +376,12 @@
                 connection_opened(p, opened->connection, now, next, more);
                 actions.insert(actions.end(), more.begin(), more.end());
             } else if (const auto* use = std::get_if<assign_connection>(&a)) {
-                ++outcomes[asked[use->request].first].served;
-                free_at = now + work;
+                ++outcomes[requests[use->request].first].served;
+                free_at = now + service_time;
             } else if (const auto* refused = std::get_if<refuse_request>(&a)) {
-                const auto& [objective, at] = asked[refused->request];
-                ++(now - at < work ? outcomes[objective].refused_at_once
-                                   : outcomes[objective].waited_in_vain);
+                const auto& [objective, at] = requests[refused->request];
+                ++(now - at < service_time ? outcomes[objective].refused_at_once
+                                           : outcomes[objective].expired_in_queue);
             }
         }
     };
@@ -385,14 +389,15 @@
     for (int ms = 0; ms < 10'000; ++ms) {
         now += std::chrono::milliseconds{1};
         if (!p.busy.empty() && now >= free_at) {
-            statement_ended(p, *p.busy.begin(), {.took = work}, now, next, actions);
-            release_connection(p, *p.busy.begin(), true, work, now, next, actions);
+            statement_ended(p, *p.busy.begin(), {.took = service_time}, now, next, actions);
+            release_connection(p, *p.busy.begin(), true, service_time, now, next, actions);
         }
-        // 40 requests a second of 200 ms and 25 of 400 ms, for a server that does 50.
-        const bool quick = ms % 25 == 0;
-        if (quick || ms % 40 == 7) {
-            const duration objective = std::chrono::milliseconds{quick ? 200 : 400};
-            asked[++id] = {objective, now};
+        // 40 requests/s with an objective of 200 ms and 25 requests/s with 400 ms; the server can serve 50
+        // requests/s.
+        const bool has_short_objective = ms % 25 == 0;
+        if (has_short_objective || ms % 40 == 7) {
+            const duration objective = std::chrono::milliseconds{has_short_objective ? 200 : 400};
+            requests[++id] = {objective, now};
             request_connection(p,
                                {.request = id,
                                 .deadline = now + objective,
@@ -405,15 +410,15 @@
             take();
         }
     }
-    const outcome& quick = outcomes[std::chrono::milliseconds{200}];
-    const outcome& patient = outcomes[std::chrono::milliseconds{400}];
-    EXPECT_GE(quick.served, 395U) << "of 400";
-    EXPECT_GE(quick.served + patient.served, 480U) << "of the 500 that the server can do";
-    EXPECT_LE(patient.waited_in_vain, 50U) << "of 250: the others are served or told at once";
-    EXPECT_GE(patient.refused_at_once, 50U);
+    const outcome& short_objective = outcomes[std::chrono::milliseconds{200}];
+    const outcome& long_objective = outcomes[std::chrono::milliseconds{400}];
+    EXPECT_GE(short_objective.served, 395U) << "of 400";
+    EXPECT_GE(short_objective.served + long_objective.served, 480U) << "of the 500 that the server can serve";
+    EXPECT_LE(long_objective.expired_in_queue, 50U) << "of 250; the others are served or refused at once";
+    EXPECT_GE(long_objective.refused_at_once, 50U);
 }
 
-TEST(pool, critical_work_is_sent_as_long_as_anybody_waits_for_it) {
+TEST(pool, critical_requests_are_not_refused_by_estimate) {
     pool_state p;
     connection_number next = 1;
     pool_actions actions;
@@ -431,35 +436,35 @@
         return std::none_of(actions.begin(), actions.end(),
                             [](const auto& a) { return std::holds_alternative<refuse_request>(a); });
     };
-    EXPECT_FALSE(ask(1, request_class::normal)) << "its answer would come after 150 ms";
+    EXPECT_FALSE(ask(1, request_class::normal)) << "the expected answer time is 150 ms";
     EXPECT_TRUE(ask(2, request_class::critical));
 }
 
-TEST(pool, makes_single_attempts_while_the_server_has_no_room) {
+TEST(pool, makes_single_connection_attempts_while_the_server_is_full) {
     pool_state p;
     connection_number next = 1;
     pool_actions actions;
     time_point now{std::chrono::seconds{1}};
     set_share(p, 8, now, next, actions);
     unsigned attempts = 0;
-    for (request_number i = 1; i <= 400; ++i) { // one each 5 ms
+    for (request_number i = 1; i <= 400; ++i) { // one request every 5 ms
         now += std::chrono::milliseconds{5};
         request_connection(p, {.request = i, .deadline = now + std::chrono::seconds{5}}, now, next, actions);
-        EXPECT_LE(p.opening.size(), 1U) << "but for the first, which knew nothing";
+        EXPECT_LE(p.opening.size(), 1U) << "at most one attempt at a time";
         while (!p.opening.empty()) {
             ++attempts;
             connection_limit_reached(p, *p.opening.begin(), now, next, actions);
         }
     }
     EXPECT_TRUE(is_server_full(p));
-    EXPECT_LE(attempts, 13U) << "pauses of 200 ms in 2 s, shorter ones at first";
+    EXPECT_LE(attempts, 13U) << "backoff of up to 200 ms over 2 s";
     try_open(p, now + std::chrono::seconds{1}, next, actions);
-    ASSERT_EQ(p.opening.size(), 1U) << "also where no request waits";
+    ASSERT_EQ(p.opening.size(), 1U) << "the pool also retries without waiting requests";
     connection_opened(p, *p.opening.begin(), now, next, actions);
     EXPECT_FALSE(is_server_full(p));
 }
 
-TEST(pool, refuses_at_once_what_it_cannot_serve_in_time) {
+TEST(pool, refuses_requests_at_once_that_cannot_be_served_in_time) {
     pool_state p;
     connection_number next = 1;
     pool_actions actions;
@@ -482,20 +487,20 @@
     actions.clear();
     request_connection(p, {.request = 12, .deadline = now + std::chrono::milliseconds{500}}, now, next,
                        actions);
-    EXPECT_TRUE(actions.empty()) << "the nearer deadline goes before the others, and is in time";
+    EXPECT_TRUE(actions.empty()) << "the earliest deadline is first and can be met";
     request_connection(p,
                        {.request = 13,
                         .deadline = now + std::chrono::seconds{9},
                         .answer_by = now + std::chrono::milliseconds{500}},
                        now, next, actions);
-    ASSERT_EQ(actions.size(), 1U) << "it could wait, but would be late";
+    ASSERT_EQ(actions.size(), 1U) << "the deadline could be met, but not answer_by";
 }
 
 //-----------------------------------------------------------------------------
 // [lease]
 //-----------------------------------------------------------------------------
 
-TEST(lease, a_grant_counts_only_once_its_revision_is_applied) {
+TEST(lease, grant_is_valid_only_after_its_revision_is_applied) {
     lease_state l;
     const time_point sent{std::chrono::seconds{5}};
     add_grant(l, sent, std::chrono::seconds{1}, 7, 6);
@@ -505,10 +510,10 @@
     EXPECT_FALSE(lease_is_live(l, sent + std::chrono::milliseconds{991}));
 }
 
-TEST(lease, the_holder_stops_before_the_grantor_counts_it_out) {
+TEST(lease, holder_expires_before_the_grantor) {
     EXPECT_TRUE(rc::check([] {
         const duration nominal = std::chrono::milliseconds{*rc::gen::inRange(200, 60000)};
-        // The holder's clock runs slow, the grantor's fast, by the bound together.
+        // The holder's clock is slow and the grantor's is fast; their relative drift is the bound.
         const double slow = 1.0 - clock_drift_bound / 2;
         const double fast = 1.0 + clock_drift_bound / 2;
         const double holder_real = static_cast<double>(holder_lease_duration(nominal).count()) / slow;
@@ -532,65 +537,69 @@
     return s;
 }
 
-TEST(leave_times, count_from_the_last_renewal_before_control_agreed) {
+TEST(leave_times, start_at_the_last_renewal_before_the_commit) {
     leave_deadlines t;
     const time_point start = std::chrono::seconds{100};
     record_answered_renewal(t, 4, start);
     record_answered_renewal(t, 4, start + std::chrono::seconds{1});
-    record_answered_renewal(t, 6, start + std::chrono::seconds{2}); // control had agreed by then: it was revision 5
+    record_answered_renewal(t, 6, start + std::chrono::seconds{2}); // control had committed revision 5 by then
     EXPECT_EQ(update_leaving_servers(t, state_with_server(true), 5), std::vector<server_id>{{"s1"}});
-    EXPECT_TRUE(update_leaving_servers(t, state_with_server(true), 7).empty()) << "learned once";
+    EXPECT_TRUE(update_leaving_servers(t, state_with_server(true), 7).empty())
+        << "each leaving server is returned once";
     const time_point end = start + std::chrono::seconds{1} + leave_time - leave_safety_margin;
     EXPECT_FALSE(leave_time_has_expired(t, {"s1"}, leave_time, end - duration{1}));
     EXPECT_TRUE(leave_time_has_expired(t, {"s1"}, leave_time, end));
-    EXPECT_FALSE(leave_time_has_expired(t, {"s2"}, leave_time, end)) << "it does not leave";
+    EXPECT_FALSE(leave_time_has_expired(t, {"s2"}, leave_time, end)) << "s2 is not leaving";
 }
 
-TEST(leave_times, are_over_where_nothing_tells_when_they_began) {
+TEST(leave_times, are_over_if_the_start_is_unknown) {
     leave_deadlines t;
-    update_leaving_servers(t, state_with_server(true), 1); // an instance that has just started
+    update_leaving_servers(t, state_with_server(true), 1); // the instance has just started, without any renewal
     EXPECT_TRUE(leave_time_has_expired(t, {"s1"}, leave_time, std::chrono::seconds{1}));
     update_leaving_servers(t, state_with_server(false), 2);
     EXPECT_FALSE(leave_time_has_expired(t, {"s1"}, leave_time, std::chrono::seconds{1}))
-        << "the record is another one";
+        << "the new record is not leaving";
 }
 
-// Renewals and their replies are delayed at will and come in any order, the copy lags behind, control changes
-// other things before and after, and the instance may have been cut off for long.
-TEST(leave_times, never_begin_after_the_acknowledgement) {
+// Guards against an instance that starts the leave time too late and so sends requests past the deadline.
+// Renewals and replies are delayed and reordered at random, the local copy lags, control commits other
+// changes before and after, and the instance may have been disconnected for long.
+TEST(leave_times, never_start_after_the_acknowledgement) {
     EXPECT_TRUE(rc::check([] {
-        const auto agreed_at = time_point{std::chrono::milliseconds{*rc::gen::inRange(0, 5'000)}};
+        const auto committed_at = time_point{std::chrono::milliseconds{*rc::gen::inRange(0, 5'000)}};
         const auto revision_at = [&](time_point at) {
             const auto other = static_cast<revision_number>(at / std::chrono::milliseconds{700});
-            return 1 + other + (at >= agreed_at ? 1 : 0);
+            return 1 + other + (at >= committed_at ? 1 : 0);
         };
-        const revision_number agreed_as = revision_at(agreed_at);
-        struct answered {
-            time_point heard{};
+        const revision_number committed_revision = revision_at(committed_at);
+        struct answered_renewal {
+            time_point received_at{};
             time_point sent{};
             revision_number revision = 0;
         };
-        std::vector<answered> answers;
+        std::vector<answered_renewal> answers;
         for (int i = *rc::gen::inRange(0, 30); i > 0; --i) {
             const auto ms = [](int most) { return std::chrono::milliseconds{*rc::gen::inRange(0, most)}; };
             const time_point sent = ms(8'000);
-            const time_point reached = sent + ms(1'000);
-            answers.push_back({.heard = reached + ms(1'000), .sent = sent, .revision = revision_at(reached)});
+            const time_point arrived_at = sent + ms(1'000);
+            answers.push_back(
+                {.received_at = arrived_at + ms(1'000), .sent = sent, .revision = revision_at(arrived_at)});
         }
-        std::sort(answers.begin(), answers.end(),
-                  [](const answered& a, const answered& b) { return a.heard < b.heard; });
-        const time_point learned = agreed_at + std::chrono::milliseconds{*rc::gen::inRange(0, 4'000)};
+        std::sort(answers.begin(), answers.end(), [](const answered_renewal& a, const answered_renewal& b) {
+            return a.received_at < b.received_at;
+        });
+        const time_point applied_at = committed_at + std::chrono::milliseconds{*rc::gen::inRange(0, 4'000)};
         leave_deadlines t;
-        for (const answered& a : answers) {
-            if (a.heard <= learned) {
+        for (const answered_renewal& a : answers) {
+            if (a.received_at <= applied_at) {
                 record_answered_renewal(t, a.revision, a.sent);
             }
         }
         const bool by_whole_state = *rc::gen::arbitrary<bool>();
-        const auto first_new =
-            by_whole_state ? *rc::gen::inRange<revision_number>(1, agreed_as + 1) : agreed_as;
+        const auto first_new = by_whole_state ? *rc::gen::inRange<revision_number>(1, committed_revision + 1)
+                                              : committed_revision;
         update_leaving_servers(t, state_with_server(true), first_new);
-        RC_ASSERT(leave_time_has_expired(t, {"s1"}, leave_time, agreed_at + leave_time - leave_safety_margin));
+        RC_ASSERT(leave_time_has_expired(t, {"s1"}, leave_time, committed_at + leave_time - leave_safety_margin));
     }));
 }
 
@@ -598,7 +607,7 @@
 // [statements and tokens]
 //-----------------------------------------------------------------------------
 
-TEST(statement, is_told_by_its_first_words) {
+TEST(statement, is_classified_by_its_first_words) {
     EXPECT_EQ(classify_statement("select 1"), statement_kind::read_hint);
     EXPECT_EQ(classify_statement("/* x */ -- y\n (SELECT 1)"), statement_kind::read_hint);
     EXPECT_EQ(classify_statement("select 1; delete from t"), statement_kind::write);
@@ -615,12 +624,12 @@
     EXPECT_EQ(classify_statement("select pg_advisory_lock(1)"), statement_kind::unsupported);
 }
 
-TEST(statement, a_read_without_parentheses_calls_nothing) {
+TEST(statement, read_without_parentheses_calls_no_function) {
     EXPECT_FALSE(may_call_functions("select value from t where key = 'k'"));
     EXPECT_TRUE(may_call_functions("select nextval('s')"));
 }
 
-TEST(statement, settings_are_read) {
+TEST(statement, settings_are_parsed) {
     EXPECT_EQ(parse_setting("set larchpin.class = 'background';"),
               (setting_change{.name = "larchpin.class", .value = "background"}));
     EXPECT_EQ(parse_setting("SET LOCAL x TO 'it''s'"),
@@ -628,7 +637,7 @@
     EXPECT_EQ(parse_setting("reset x"), (setting_change{.name = "x", .value = "", .reset = true}));
 }
 
-TEST(statement, any_text_is_classified_without_harm) {
+TEST(statement, any_text_is_classified_without_a_crash) {
     EXPECT_TRUE(rc::check([](const std::string& text) {
         classify_statement(text);
         parse_setting(text);
@@ -636,7 +645,7 @@
     }));
 }
 
-TEST(token, comes_back_as_it_was) {
+TEST(token, round_trips) {
     EXPECT_TRUE(rc::check([](const std::string& group, std::uint64_t term, std::uint64_t position) {
         RC_PRE(!group.empty());
         const session_token token{.group = {group}, .term = term, .position = position};
@@ -649,7 +658,7 @@
 // [health]
 //-----------------------------------------------------------------------------
 
-TEST(health, a_failing_server_is_passed_over_and_comes_back_slowly) {
+TEST(health, failing_server_is_ejected_and_its_share_recovers_gradually) {
     server_health h;
     const time_point now{std::chrono::seconds{100}};
     for (int i = 0; i < 3; ++i) {
@@ -661,9 +670,9 @@
     EXPECT_EQ(slow_start_factor(h, h.ejected_until + std::chrono::seconds{10}), 1.0);
 }
 
-// The pattern: both replicas of a group are cut off for some seconds. Their failures must not keep reads on
-// the primary once they are back: a server that gets no requests can show nothing better.
-TEST(health, a_penalty_for_failures_wears_off_without_news) {
+// Guards against reads that stay on the primary after both replicas of a group were unreachable for some
+// seconds. A server without requests cannot improve its latency, so the penalty must decay with time.
+TEST(health, failure_penalty_decays_without_requests) {
     server_health h;
     time_point now{std::chrono::seconds{100}};
     record_start(h);
@@ -675,13 +684,13 @@
     EXPECT_GE(expected_latency(h, now), std::chrono::seconds{1});
     now += std::chrono::milliseconds{3500};
     EXPECT_LE(expected_latency(h, now), std::chrono::milliseconds{60})
-        << "within three times a usual primary";
+        << "within three times the usual latency of a primary";
     EXPECT_GE(expected_latency(h, now + std::chrono::hours{1}), std::chrono::milliseconds{20})
-        << "what answers took is not forgotten";
+        << "the latency of answers is kept";
 }
 
-// A crowded server's queue would make it look quick, and a dead one well.
-TEST(health, a_request_that_goes_away_unanswered_says_nothing_of_its_server) {
+// Guards against cancelled requests that make an overloaded server look fast or a dead one healthy.
+TEST(health, cancelled_requests_do_not_change_the_health) {
     server_health h;
     const time_point now{std::chrono::seconds{1}};
     record_start(h);
@@ -701,7 +710,7 @@
     EXPECT_GT(h.ejected_until, now) << "the third failure in a row";
 }
 
-TEST(health, retries_never_exceed_a_tenth_of_the_requests_for_long) {
+TEST(health, retries_stay_within_a_tenth_of_the_requests) {
     retry_budget b;
     int retries = 0;
     for (int i = 0; i < 1000; ++i) {
--- a/tests/routing_test.cpp
+++ b/tests/routing_test.cpp
@@ -1,7 +1,7 @@
-// Which server a read goes to where servers enforce a floor.
+// Tests of read routing for servers that enforce a floor.
 //
 // Index
-//   [a group]  [floors]  [leaving]  [choice]
+//   [fixture]  [floors]  [leaving]  [choice]
 #include "core/routing.hpp"
 
 #include <gtest/gtest.h>
@@ -13,12 +13,13 @@
 using std::chrono::milliseconds;
 
 //-----------------------------------------------------------------------------
-// [a group]
+// [fixture]
 //-----------------------------------------------------------------------------
 
 constexpr time_point start = std::chrono::seconds{100};
 
-// A primary "p" that has gained one position every 10 ms since `start`, and replicas "a" and "b".
+// A group with a primary "p", whose position has advanced by one every 10 ms since `start`, and replicas "a"
+// and "b".
 struct routing_fixture {
     group_positions positions;
     group_view view;
@@ -58,39 +59,41 @@
 // [floors]
 //-----------------------------------------------------------------------------
 
-TEST(floor, is_the_lowest_position_that_gives_the_stated_age) {
+TEST(floor, is_the_lowest_position_within_the_staleness_bound) {
     routing_fixture g;
     EXPECT_EQ(required_position(g.view, g.session, g.context), 150U);
     g.session.written = session_token{.group = {"g"}, .term = 1, .position = 290};
-    EXPECT_EQ(required_position(g.view, g.session, g.context), 290U) << "and the session's own writes";
+    EXPECT_EQ(required_position(g.view, g.session, g.context), 290U)
+        << "the session's own writes are covered too";
 }
 
-TEST(floor, without_a_position_that_is_new_enough_the_primary_is_asked) {
+TEST(floor, is_fetched_from_the_primary_if_no_recent_position_is_known) {
     routing_fixture g;
     g.context.now += std::chrono::seconds{2};
     g.context.arrived_at = g.context.now;
     EXPECT_EQ(g.route().kind, target_kind::fetch_primary_position);
     g.context.lease_live = false;
-    EXPECT_EQ(g.route().kind, target_kind::refuse) << "nobody knows whether it still is the primary";
+    EXPECT_EQ(g.route().kind, target_kind::refuse) << "without a lease it may have been replaced";
 }
 
-TEST(floor, covers_every_write_that_is_older_than_the_stated_age) {
+TEST(floor, covers_every_write_older_than_the_staleness_bound) {
     EXPECT_TRUE(rc::check([](std::uint16_t staleness, std::uint16_t later) {
         routing_fixture g;
         g.context.staleness = milliseconds{staleness % 3000 + 1};
         g.context.now += milliseconds{later % 500};
         g.context.arrived_at = g.context.now;
         const auto floor = required_position(g.view, g.session, g.context);
-        // Position i was reached at 10 * i ms; it is owed once it is older than the age.
-        const auto owed = (g.context.now - g.context.staleness - start) / milliseconds{10};
-        RC_ASSERT(!floor || static_cast<std::int64_t>(*floor) >= std::min<std::int64_t>(owed, 299));
+        // Position i was reached at 10 * i ms; the floor must cover it once it is older than the staleness
+        // bound.
+        const auto required = (g.context.now - g.context.staleness - start) / milliseconds{10};
+        RC_ASSERT(!floor || static_cast<std::int64_t>(*floor) >= std::min<std::int64_t>(required, 299));
     }));
 }
 
-TEST(leaving, a_primary_serves_until_its_time_is_over_and_is_then_named_in_the_refusal) {
+TEST(leaving, primary_serves_until_its_deadline_and_requests_then_get_server_left) {
     routing_fixture g;
     g.view.servers[0].leaving = true;
-    EXPECT_EQ(route_write(g.view, true).kind, target_kind::server) << "nobody has taken over yet";
+    EXPECT_EQ(route_write(g.view, true).kind, target_kind::server) << "no other server has taken over yet";
     g.view.servers[0].leave_deadline_passed = true;
     EXPECT_EQ(route_write(g.view, true).code, result_code::server_left);
     g.add_replica_sample("a", 299);
@@ -107,7 +110,7 @@
 // [choice]
 //-----------------------------------------------------------------------------
 
-TEST(choice, a_replica_that_lags_too_far_is_not_asked) {
+TEST(choice, skips_replicas_that_lag_too_far) {
     routing_fixture g;
     g.add_replica_sample("a", 20);
     g.add_replica_sample("b", 200);
@@ -118,7 +121,7 @@
     }
 }
 
-TEST(choice, where_no_replica_is_likely_to_do_the_primary_reads) {
+TEST(choice, reads_from_the_primary_if_no_replica_is_likely_to_qualify) {
     routing_fixture g;
     g.add_replica_sample("a", 20);
     g.add_replica_sample("b", 20);
@@ -126,7 +129,7 @@
     EXPECT_TRUE(g.route().is_primary);
 }
 
-TEST(choice, a_replica_is_asked_again_once_what_was_heard_of_it_is_old) {
+TEST(choice, retries_a_replica_once_its_known_position_is_old) {
     routing_fixture g;
     g.add_replica_sample("a", 20);
     g.add_replica_sample("b", 20);
@@ -135,49 +138,50 @@
     EXPECT_FALSE(g.route().is_primary);
 }
 
-TEST(choice, an_idle_primary_takes_reads_over_from_replicas_that_are_crowded) {
+TEST(choice, moves_reads_from_overloaded_replicas_to_an_idle_primary) {
     routing_fixture g;
     EXPECT_FALSE(g.route().is_primary);
     g.view.servers[1].outstanding = 12;
     g.view.servers[2].outstanding = 12;
     EXPECT_TRUE(g.route().is_primary);
     g.view.servers[0].outstanding = 6;
-    EXPECT_FALSE(g.route().is_primary) << "it has its own work";
+    EXPECT_FALSE(g.route().is_primary) << "the primary has requests of its own";
     g.view.servers[0].outstanding = 0;
     g.context.lease_live = false;
     EXPECT_FALSE(g.route().is_primary);
 }
 
-TEST(choice, what_another_instance_may_know_better_is_not_waited_for_long) {
-    const duration patience = milliseconds{250};
-    EXPECT_EQ(max_wait_after(result_code::no_primary, patience), patience) << "all instances wait for the same";
-    EXPECT_LT(max_wait_after(result_code::no_lease, patience), patience / 4);
+TEST(choice, waits_only_briefly_for_a_missing_lease) {
+    const duration wait_limit = milliseconds{250};
+    EXPECT_EQ(max_wait_after(result_code::no_primary, wait_limit), wait_limit)
+        << "all instances miss the primary";
+    EXPECT_LT(max_wait_after(result_code::no_lease, wait_limit), wait_limit / 4);
     EXPECT_LE(max_wait_after(result_code::no_lease, milliseconds{10}), milliseconds{10});
 }
 
-// Many workspaces, each of which asks seldom: a read that went to either replica would find a connection of
-// its workspace half as often.
-TEST(choice, of_a_workspaces_replica_is_the_same_as_long_as_it_is_not_clearly_slower) {
+// With many workspaces that each send few requests, a read sent to either replica at random would find an
+// open connection of its workspace half as often.
+TEST(choice, keeps_a_workspace_on_one_replica_unless_it_is_clearly_slower) {
     routing_fixture g;
     g.add_replica_sample("a", 290);
     g.add_replica_sample("b", 290);
-    std::map<server_id, int> firsts;
+    std::map<server_id, int> preferred_counts;
     for (int w = 0; w < 100; ++w) {
         g.session.workspace = {"w" + std::to_string(w)};
         const server_id first = g.route().server;
-        ++firsts[first];
+        ++preferred_counts[first];
         for (int i = 0; i < 10; ++i) {
             EXPECT_EQ(g.route().server, first);
         }
     }
-    EXPECT_GT(firsts[{"a"}], 30);
-    EXPECT_GT(firsts[{"b"}], 30);
+    EXPECT_GT(preferred_counts[{"a"}], 30);
+    EXPECT_GT(preferred_counts[{"b"}], 30);
     for (server_view& s : g.view.servers) {
         s.latency = s.id.value == "a" ? milliseconds{50} : milliseconds{10};
     }
     for (int w = 0; w < 100; ++w) {
         g.session.workspace = {"w" + std::to_string(w)};
-        EXPECT_NE(g.route().server.value, "a") << "five times as slow";
+        EXPECT_NE(g.route().server.value, "a") << "replica a is five times slower";
     }
 }
 
--- a/tests/session_fuzz_test.cpp
+++ b/tests/session_fuzz_test.cpp
@@ -1,5 +1,6 @@
-// Reads against a model of the group's history: whatever routing chooses, a session sees its own writes,
-// never goes back, and gets data no older than it stated; or it is told that a write was lost.
+// Fuzz test of read routing against a model of the group's history. For every routing decision, a session
+// sees its own writes, reads monotonically, and gets data within its staleness bound, or it gets a lost_write
+// error.
 #include "core/routing.hpp"
 
 #include <gtest/gtest.h>
@@ -17,9 +18,9 @@
 constexpr std::size_t server_count = 3;
 
 struct injected_faults {
-    bool ignore_floor = false;       // sessions forget what they wrote
-    bool ignore_last_read = false;        // and what they read
-    bool accept_old_primary_samples = false; // samples of a replaced primary are taken in
+    bool ignore_floor = false;               // sessions forget their writes
+    bool ignore_last_read = false;           // sessions forget their last read
+    bool accept_old_primary_samples = false; // samples of a replaced primary are accepted
 };
 
 struct acknowledged_write {
@@ -29,24 +30,24 @@
 
 struct model_server {
     server_id id;
-    log_position position = 0; // of the history of its timeline
+    log_position position = 0; // in the history of its timeline
     std::uint64_t timeline = 1;
 };
 
-// What a session really has done, beside what it believes.
+// The true history of a session, next to the state that the proxy tracks.
 struct model_session {
     session_state state;
     duration staleness{0};
-    log_position required_position = 0; // of the current term's history
-    log_position written = 0;  // by itself
-    bool lost_observed = false;         // a part of what it saw is gone
-    bool lost_written = false;   // a part of what it wrote is gone
-    bool idle = true;          // has neither read nor written
+    log_position required_position = 0; // minimum for the next read, in the current term's history
+    log_position written = 0;           // position of the last own write
+    bool lost_observed = false;         // a part of what the session observed did not survive a failover
+    bool lost_written = false;          // a part of what the session wrote did not survive a failover
+    bool idle = true;                   // the session has neither read nor written
 };
 
 class history_model {
 public:
-    history_model(std::uint64_t seed, const injected_faults& broken) : random_(seed), faults_(broken) {
+    history_model(std::uint64_t seed, const injected_faults& faults) : random_(seed), faults_(faults) {
         for (std::size_t i = 0; i < server_count; ++i) {
             servers_.push_back({.id = {"s" + std::to_string(i)}, .position = 100, .timeline = 1});
         }
@@ -78,7 +79,7 @@
         s.state.group = {"g"};
         s.state.arrived_at = now_;
         s.staleness = chance(0.5) ? duration{0} : duration{std::chrono::milliseconds{50 + random_int(400)}};
-        // Everything acknowledged before it arrived is owed to a session that states no age.
+        // A session without a staleness bound must see every write acknowledged before its arrival.
         s.required_position = s.staleness > duration{0} || acks_.empty() ? 0 : acks_.back().position;
         return s;
     }
@@ -119,19 +120,21 @@
                 continue;
             }
             if (s.timeline != view_.record.timeline) {
-                if (chance(0.05)) { // follows the new primary, from where the histories part
+                if (chance(0.05)) { // follows the new primary from the point where the histories diverge
                     s.timeline = view_.record.timeline;
                     s.position = std::min(s.position, view_.record.term_starts.back().position);
                 }
                 continue;
             }
             if (chance(0.5)) {
-                s.position = std::min(primary().position, s.position + static_cast<log_position>(random_int(12)));
+                s.position =
+                    std::min(primary().position, s.position + static_cast<log_position>(random_int(12)));
             }
         }
     }
 
-    // Asked now, read a little later, known later still.
+    // Models a sample that is requested now, read by the server after a delay, and received after another
+    // delay.
     void sample(const model_server& asked) {
         const server_id id = asked.id;
         queue_.emplace(now_ + std::chrono::milliseconds{random_int(5)}, [this, id, asked_at = now_] {
@@ -174,9 +177,10 @@
         apply_positions(s.state, view_.record, positions_);
         if (has_lost_write(s.state, view_.record)) {
             ++lost_write_reports;
-            // A read's mark is an upper bound of what it showed, so only idle sessions are surely unharmed.
+            // The tracked position is an upper bound of what was read, so a report is surely wrong only for
+            // idle sessions.
             if (s.idle) {
-                violation_ = "a session that did nothing was told of a lost write";
+                violation_ = "a session that did nothing got lost_write";
             }
             s = make_session();
             return;
@@ -186,12 +190,12 @@
         for (const model_server& m : servers_) {
             view_.servers.push_back({.id = m.id});
         }
-        const read_context wish{.staleness = s.staleness,
-                             .arrived_at = now_ - std::chrono::milliseconds{random_int(50)},
-                             .now = now_,
-                             .lease_live = true,
-                             .excluded = {}};
-        const routing_decision d = route_read(view_, s.state, wish, {}, random_);
+        const read_context context{.staleness = s.staleness,
+                                   .arrived_at = now_ - std::chrono::milliseconds{random_int(50)},
+                                   .now = now_,
+                                   .lease_live = true,
+                                   .excluded = {}};
+        const routing_decision d = route_read(view_, s.state, context, {}, random_);
         if (d.kind != target_kind::server) {
             return;
         }
@@ -200,20 +204,20 @@
             std::find_if(servers_.begin(), servers_.end(), [&d](const auto& m) { return m.id == d.server; });
         const log_position seen = server->position;
         if (s.lost_written) {
-            violation_ = "a session whose write was lost was not told";
+            violation_ = "a session whose write was lost did not get lost_write";
         }
         s.idle = false;
         if (s.lost_observed) {
-            return; // what it saw is gone, and it was too fresh to be known
+            return; // the observed data is lost, and no sample had covered it yet
         }
         if (server->timeline != view_.record.timeline) {
             violation_ = "read from a server on an older timeline";
         } else if (seen < (s.staleness > duration{0} ? s.written : s.required_position)) {
-            violation_ = "read older data than the session has seen";
+            violation_ = "read older data than the session has observed";
         } else if (s.staleness > duration{0}) {
             for (const acknowledged_write& a : acks_) {
                 if (a.at + s.staleness < now_ && a.position > seen) {
-                    violation_ = "read data older than stated";
+                    violation_ = "read data older than the staleness bound";
                 }
             }
         }
@@ -221,7 +225,7 @@
         note_read(s.state, d.server, now_);
     }
 
-    // Goes on elsewhere, with its token; what it only read is not carried.
+    // Reconnects to another proxy with the token. The token carries the writes of the session, not its reads.
     void reconnect(model_session& s) {
         if (!s.state.written) {
             return;
@@ -281,10 +285,10 @@
     std::string violation_;
 };
 
-TEST(session_fuzz, every_read_gives_the_session_what_it_is_owed) {
+TEST(session_fuzz, every_read_satisfies_the_consistency_of_its_session) {
     std::uint64_t on_replica = 0;
     std::uint64_t on_primary = 0;
-    std::uint64_t told_lost = 0;
+    std::uint64_t lost_write_reports = 0;
     const bool held = rc::check([&] {
         const auto seed = *rc::gen::arbitrary<std::uint32_t>();
         history_model model(seed, {});
@@ -292,13 +296,13 @@
         RC_ASSERT(violation == std::string{});
         on_replica += model.on_replica;
         on_primary += model.on_primary;
-        told_lost += model.lost_write_reports;
+        lost_write_reports += model.lost_write_reports;
     });
     EXPECT_TRUE(held);
     EXPECT_GT(on_replica, 0U);
-    EXPECT_GT(told_lost, 0U);
-    std::cout << on_replica << " reads on replicas, " << on_primary << " on the primary, " << told_lost
-              << " sessions told of a lost write\n";
+    EXPECT_GT(lost_write_reports, 0U);
+    std::cout << on_replica << " reads on replicas, " << on_primary << " on the primary, "
+              << lost_write_reports << " sessions with lost_write\n";
 }
 
 void expect_detected(const injected_faults& faults) {
@@ -307,22 +311,22 @@
         history_model model(seed, faults);
         const std::string violation = model.run();
         if (!violation.empty()) {
-            std::cout << "noticed with seed " << seed << ": " << violation << "\n";
+            std::cout << "detected with seed " << seed << ": " << violation << "\n";
             return;
         }
     }
-    ADD_FAILURE() << "the broken rule went unnoticed";
+    ADD_FAILURE() << "the injected fault was not detected";
 }
 
-TEST(session_fuzz, notices_a_forgotten_write) {
+TEST(session_fuzz, detects_a_forgotten_write) {
     expect_detected({.ignore_floor = true});
 }
 
-TEST(session_fuzz, notices_a_forgotten_read) {
+TEST(session_fuzz, detects_a_forgotten_read) {
     expect_detected({.ignore_last_read = true});
 }
 
-TEST(session_fuzz, notices_samples_of_a_replaced_primary) {
+TEST(session_fuzz, detects_samples_of_a_replaced_primary) {
     expect_detected({.accept_old_primary_samples = true});
 }
 
