--- a/src/core/control.cpp
+++ b/src/core/control.cpp
@@ -87,13 +87,13 @@
 
 // Returns an update for a daemon with another version. A daemon keeps an earlier leader's set until this
 // leader has completed a check.
-std::optional<lost_update> make_lost_update(const control_state& c, const cluster_state& s,
+std::optional<lost_instances_update> make_lost_instances_update(const control_state& c, const cluster_state& s,
                                             const renewal& r) {
     const std::uint64_t version = lost_version(c);
     if (r.lost_version == version || !c.lost.is_known) {
         return std::nullopt;
     }
-    lost_update update;
+    lost_instances_update update;
     update.version = version;
     if (version != 0) {
         update.instances_revision = s.instances_revision;
@@ -189,7 +189,7 @@
             remove_holder(c.shares, key, d.holder);
             return true;
         }
-        note_holder(c.shares, key, d.holder, held, claim == d.claims.end() ? 0 : claim->second.wanted);
+        record_holder(c.shares, key, d.holder, held, claim == d.claims.end() ? 0 : claim->second.wanted);
         return false;
     });
 }
@@ -203,7 +203,7 @@
         const unsigned share = grant_share(c, s, r.instance.id, claim, all_holders_known, now);
         reply.shares.push_back({.key = claim.key, .connections = share});
         sent.shares[claim.key] = share;
-        note_holder(c.shares, claim.key, d.holder, std::max(share, held_share(d, claim.key)), claim.wanted);
+        record_holder(c.shares, claim.key, d.holder, std::max(share, held_share(d, claim.key)), claim.wanted);
     }
     d.unconfirmed_replies.push_back(std::move(sent));
 }
@@ -384,7 +384,7 @@
         reply.servers_to_observe = observed->second;
     }
     reply.control_addresses = c.control_addresses;
-    reply.lost = make_lost_update(c, s, r);
+    reply.lost = make_lost_instances_update(c, s, r);
     reply.renew_after = renewal_interval(c.config.lease, s.instances.size());
     return reply;
 }
--- a/src/core/failover.cpp
+++ b/src/core/failover.cpp
@@ -342,7 +342,7 @@
     return std::any_of(c.daemons.begin(), c.daemons.end(), [&](const auto& d) {
         const auto seen = d.second.observations.find(server);
         return seen != d.second.observations.end() && seen->second.alive &&
-               now - d.second.seen_at <= c.config.max_observation_age;
+               now - d.second.last_renewal_at <= c.config.max_observation_age;
     });
 }
 
--- a/src/core/lenders.cpp
+++ b/src/core/lenders.cpp
@@ -20,10 +20,10 @@
 constexpr int smoothing_divisor = 8;
 constexpr std::size_t max_round_trip_delays = 2000;
 
-int preference_class(const lender_tracker& tracker, const server_id& server, const lender& l,
+int preference_class(const forwarding_peer_tracker& tracker, const server_id& server, const forwarding_peer& l,
                      time_point now) {
-    const auto last = tracker.last_lender.find(server);
-    if (last != tracker.last_lender.end() && last->second == l.address) {
+    const auto last = tracker.last_forwarding_peer.find(server);
+    if (last != tracker.last_forwarding_peer.end() && last->second == l.address) {
         return -1;
     }
     return (l.lost ? 4 : 0) + (is_silent(tracker, l.address, now) ? 2 : 0) + (l.in_other_domain ? 1 : 0);
@@ -31,11 +31,11 @@
 
 } // namespace
 
-void record_request(lender_tracker& tracker, const std::string& address, time_point now) {
+void record_request(forwarding_peer_tracker& tracker, const std::string& address, time_point now) {
     record_request(tracker.reachability_by_address[address], now);
 }
 
-std::vector<std::string> take_due_pings(lender_tracker& tracker, time_point now) {
+std::vector<std::string> take_due_pings(forwarding_peer_tracker& tracker, time_point now) {
     std::vector<std::string> pings;
     for (auto& [address, r] : tracker.reachability_by_address) {
         const bool silent = tracker.silent_until.contains(address);
@@ -51,23 +51,23 @@
     return pings;
 }
 
-bool mark_silent(lender_tracker& tracker, const std::string& address, time_point now) {
+bool mark_silent(forwarding_peer_tracker& tracker, const std::string& address, time_point now) {
     const bool is_new = !tracker.silent_until.contains(address);
     tracker.silent_until[address] = now + silent_duration;
     return is_new;
 }
 
-bool mark_responsive(lender_tracker& tracker, const std::string& address) {
+bool mark_responsive(forwarding_peer_tracker& tracker, const std::string& address) {
     record_answer(tracker.reachability_by_address[address]);
     return tracker.silent_until.erase(address) > 0;
 }
 
-void mark_without_connection(lender_tracker& tracker, const server_id& server, const std::string& address,
+void mark_without_connection(forwarding_peer_tracker& tracker, const server_id& server, const std::string& address,
                              time_point now) {
     tracker.no_connection_until[{server, address}] = now + no_connection_duration;
 }
 
-void record_round_trip_delay(lender_tracker& tracker, const std::string& address, duration delay) {
+void record_round_trip_delay(forwarding_peer_tracker& tracker, const std::string& address, duration delay) {
     const auto known = tracker.round_trip_delays.find(address);
     if (known != tracker.round_trip_delays.end()) {
         known->second += (delay - known->second) / smoothing_divisor;
@@ -76,7 +76,7 @@
     }
 }
 
-bool is_slow(const lender_tracker& tracker, const std::string& address) {
+bool is_slow(const forwarding_peer_tracker& tracker, const std::string& address) {
     const auto known = tracker.round_trip_delays.find(address);
     if (known == tracker.round_trip_delays.end()) {
         return false;
@@ -87,31 +87,31 @@
            known->second > quickest->second * slow_delay_factor;
 }
 
-bool is_silent(const lender_tracker& tracker, const std::string& address, time_point now) {
+bool is_silent(const forwarding_peer_tracker& tracker, const std::string& address, time_point now) {
     const auto known = tracker.silent_until.find(address);
     return known != tracker.silent_until.end() && now < known->second;
 }
 
-bool is_without_connection(const lender_tracker& tracker, const server_id& server, const std::string& address,
+bool is_without_connection(const forwarding_peer_tracker& tracker, const server_id& server, const std::string& address,
                            time_point now) {
     const auto known = tracker.no_connection_until.find({server, address});
     return known != tracker.no_connection_until.end() && now < known->second;
 }
 
-void clear_expired(lender_tracker& tracker, time_point now) {
+void clear_expired(forwarding_peer_tracker& tracker, time_point now) {
     std::erase_if(tracker.no_connection_until, [now](const auto& w) { return now >= w.second; });
 }
 
-std::vector<std::string> order_lenders(const lender_tracker& tracker, const server_id& server,
-                                       const std::vector<lender>& candidates, time_point now,
+std::vector<std::string> order_forwarding_peers(const forwarding_peer_tracker& tracker, const server_id& server,
+                                       const std::vector<forwarding_peer>& candidates, time_point now,
                                        std::mt19937_64& random) {
-    std::vector<lender> order = candidates;
+    std::vector<forwarding_peer> order = candidates;
     std::shuffle(order.begin(), order.end(), random);
-    std::stable_sort(order.begin(), order.end(), [&](const lender& x, const lender& y) {
+    std::stable_sort(order.begin(), order.end(), [&](const forwarding_peer& x, const forwarding_peer& y) {
         return std::pair(preference_class(tracker, server, x, now), x.rank) <
                std::pair(preference_class(tracker, server, y, now), y.rank);
     });
-    const auto has_no_connection = [&](const lender& l) {
+    const auto has_no_connection = [&](const forwarding_peer& l) {
         return is_without_connection(tracker, server, l.address, now);
     };
     if (std::all_of(order.begin(), order.end(), has_no_connection)) {
@@ -121,7 +121,7 @@
     }
     std::vector<std::string> addresses;
     addresses.reserve(order.size());
-    for (lender& l : order) {
+    for (forwarding_peer& l : order) {
         addresses.push_back(std::move(l.address));
     }
     return addresses;
--- a/src/core/lost_instances.cpp
+++ b/src/core/lost_instances.cpp
@@ -17,7 +17,7 @@
 // [control instance]
 //-----------------------------------------------------------------------------
 
-bool is_check_due(lost_tracker& l, duration lease, time_point now) {
+bool is_check_due(lost_instances_tracker& l, duration lease, time_point now) {
     if (l.checked_at != time_point{} && now - l.checked_at < lease / checks_per_lease) {
         return false;
     }
@@ -28,7 +28,7 @@
     return now >= l.grace_until;
 }
 
-bool set_lost(lost_tracker& l, std::set<instance_id> lost) {
+bool set_lost(lost_instances_tracker& l, std::set<instance_id> lost) {
     l.is_known = true;
     if (lost == l.instances) {
         return false;
@@ -38,7 +38,7 @@
     return true;
 }
 
-bool remove_lost(lost_tracker& l, const instance_id& id) {
+bool remove_lost(lost_instances_tracker& l, const instance_id& id) {
     if (l.instances.erase(id) == 0) {
         return false;
     }
@@ -64,7 +64,7 @@
 // [daemon]
 //-----------------------------------------------------------------------------
 
-bool apply_lost_update(lost_instance_set& k, const lost_update& update, const cluster_state& s) {
+bool apply_lost_instances_update(lost_instance_set& k, const lost_instances_update& update, const cluster_state& s) {
     if (update.version == 0) {
         k = {};
         return true;
--- a/src/core/pool.cpp
+++ b/src/core/pool.cpp
@@ -31,7 +31,7 @@
     return {.running = running_count(p), .opening = static_cast<unsigned>(p.opening.size())};
 }
 
-void note_demand(pool_state& p, time_point now) {
+void record_demand(pool_state& p, time_point now) {
     const auto demand = static_cast<unsigned>(p.busy.size()) + waiting_count(p);
     if (demand >= p.peak_demand) {
         p.peak_demand = demand;
@@ -74,7 +74,7 @@
 void apply_actual_cost(pool_state& p, connection_number c, duration took) {
     const auto charged = p.charged.find(c);
     if (charged != p.charged.end()) {
-        note_actual_cost(p.queue, p.owners.at(c),
+        record_actual_cost(p.queue, p.owners.at(c),
                          {.took = took, .charged = charged->second.cost, .weight = charged->second.weight});
         charged->second.cost = {};
     }
@@ -106,7 +106,7 @@
         const auto connection = find_idle(p, waiter);
         if (connection != p.idle.end()) {
             const queued_request w = waiter;
-            note_sent(p.queue, w.request, now);
+            record_sent(p.queue, w.request, now);
             assign_idle(p, w, connection, actions);
             return true;
         }
@@ -244,9 +244,9 @@
 // Returns the expected server time of a request: the response time of its class, or of all classes while its
 // class has no sample.
 duration expected_cost(const pool_state& p, request_class klass) {
-    const duration usual = smoothed_response_time(p, klass);
-    if (usual > duration{0}) {
-        return usual;
+    const duration smoothed = smoothed_response_time(p, klass);
+    if (smoothed > duration{0}) {
+        return smoothed;
     }
     return p.limit.smoothed_response_time > duration{0} ? p.limit.smoothed_response_time : p.service_time;
 }
@@ -369,7 +369,7 @@
     if (!w.any_workspace) {
         p.last_request_at[w.workspace] = now;
     }
-    note_demand(p, now);
+    record_demand(p, now);
     process_queue(p, now, next_connection, actions);
 }
 
@@ -422,10 +422,10 @@
         return;
     }
     if (end.overloaded) {
-        note_overload(p.limit, running_count(p), now);
+        record_overload(p.limit, running_count(p), now);
     } else {
         apply_actual_cost(p, c, end.took);
-        note_statement_answered(
+        record_statement_answered(
             p.limit, {.took = end.took, .klass = static_cast<std::size_t>(end.klass), .share = p.share}, now);
     }
     if (end.in_transaction) {
@@ -510,7 +510,7 @@
 }
 
 unsigned take_peak_demand(pool_state& p, time_point now) {
-    note_demand(p, now);
+    record_demand(p, now);
     if (now - p.peak_at > demand_window && p.peak_demand > 0) {
         --p.peak_demand; // reduces the demand by one connection per interval
         p.peak_at = now - demand_window + demand_decay_interval;
--- a/src/core/rendezvous.cpp
+++ b/src/core/rendezvous.cpp
@@ -78,7 +78,7 @@
 
 std::size_t count_client_facing(const cluster_state& s) {
     return static_cast<std::size_t>(std::count_if(s.instances.begin(), s.instances.end(),
-                                                  [](const auto& i) { return i.second.takes_callers; }));
+                                                  [](const auto& i) { return i.second.accepts_clients; }));
 }
 
 } // namespace
--- a/src/core/request_queue.cpp
+++ b/src/core/request_queue.cpp
@@ -157,7 +157,7 @@
     std::erase_if(q.waiting, [request](const queued_request& r) { return r.request == request; });
 }
 
-void note_sent(request_queue& q, request_number request, time_point now) {
+void record_sent(request_queue& q, request_number request, time_point now) {
     const auto sent = std::find_if(q.waiting.begin(), q.waiting.end(),
                                    [request](const queued_request& r) { return r.request == request; });
     if (sent == q.waiting.end()) {
@@ -191,7 +191,7 @@
     q.waiting.erase(sent);
 }
 
-void note_actual_cost(request_queue& q, const workspace_id& workspace, const actual_cost& u) {
+void record_actual_cost(request_queue& q, const workspace_id& workspace, const actual_cost& u) {
     const auto found = q.virtual_finish.find(workspace);
     const double before = found == q.virtual_finish.end() ? q.virtual_time : found->second;
     const double after = before + (to_ms(u.took) - to_ms(u.charged)) / u.weight;
--- a/src/core/request_queue.hpp
+++ b/src/core/request_queue.hpp
@@ -89,7 +89,7 @@
 void remove_request(request_queue& q, request_number request);
 
 // Removes a request that was sent, and charges its expected cost to its workspace.
-void note_sent(request_queue& q, request_number request, time_point now);
+void record_sent(request_queue& q, request_number request, time_point now);
 
 // Actual and expected server time of a statement.
 struct actual_cost {
@@ -97,7 +97,7 @@
     duration charged{0};
     unsigned weight = 1;
 };
-void note_actual_cost(request_queue& q, const workspace_id& workspace, const actual_cost& u);
+void record_actual_cost(request_queue& q, const workspace_id& workspace, const actual_cost& u);
 
 //-----------------------------------------------------------------------------
 // [order]
--- a/src/core/routing.cpp
+++ b/src/core/routing.cpp
@@ -247,18 +247,18 @@
     } else {
         std::erase_if(usable, is_ejected);
     }
-    const auto has_reached = [&](const server_view* s, duration trust) {
+    const auto likely_holds = [&](const server_view* s, duration trust) {
         return likely_has_position(*g.positions, s->id, g.record.timeline, floor, context.now, trust);
     };
     std::vector<const server_view*> candidates;
     for (const server_view* s : usable) {
-        if (has_reached(s, settings.position_max_age)) {
+        if (likely_holds(s, settings.position_max_age)) {
             candidates.push_back(s);
         }
     }
     if (candidates.empty() && with_probability(settings.position_trial_probability, random)) {
         for (const server_view* s : usable) {
-            if (s->load && has_reached(s, settings.position_trial_min_age)) {
+            if (s->load && likely_holds(s, settings.position_trial_min_age)) {
                 candidates.push_back(s);
             }
         }
--- a/src/core/running_limit.cpp
+++ b/src/core/running_limit.cpp
@@ -37,7 +37,7 @@
 
 } // namespace
 
-void note_overload(running_limit& l, unsigned running, time_point now) {
+void record_overload(running_limit& l, unsigned running, time_point now) {
     if (l.aimd_limit > 0 && now - l.decreased_at < decrease_interval) {
         return;
     }
@@ -47,7 +47,7 @@
     l.increased_at = now;
 }
 
-void note_statement_answered(running_limit& l, const answered_statement& a, time_point now) {
+void record_statement_answered(running_limit& l, const answered_statement& a, time_point now) {
     response_time_stats& times = l.response_times.at(a.klass);
     update_response_time(times, a.took);
     l.smoothed_response_time =
--- a/src/core/running_limit.hpp
+++ b/src/core/running_limit.hpp
@@ -43,7 +43,7 @@
 
 // Lowers the limit after the server refused a statement because of overload, with `running` statements of
 // this pool at the server.
-void note_overload(running_limit& l, unsigned running, time_point now);
+void record_overload(running_limit& l, unsigned running, time_point now);
 
 // An answered statement of class `klass` (0 .. response_time_classes - 1). `share` is the maximum number of
 // connections that the daemon may have open at the server.
@@ -52,7 +52,7 @@
     std::size_t klass = 0;
     unsigned share = 0;
 };
-void note_statement_answered(running_limit& l, const answered_statement& a, time_point now);
+void record_statement_answered(running_limit& l, const answered_statement& a, time_point now);
 
 bool may_send(const running_limit& l, unsigned running);
 
--- a/src/core/session.cpp
+++ b/src/core/session.cpp
@@ -191,11 +191,11 @@
     }
 }
 
-void note_write(session_state& s, term_number term, log_position position) {
+void record_write(session_state& s, term_number term, log_position position) {
     raise_written(s, term, position);
 }
 
-void note_read(session_state& s, const server_id& server, time_point finished_at) {
+void record_read(session_state& s, const server_id& server, time_point finished_at) {
     s.last_read = unresolved_read{.server = server, .finished_at = finished_at};
 }
 
--- a/src/core/session.hpp
+++ b/src/core/session.hpp
@@ -100,10 +100,10 @@
 bool apply_setting(session_state& s, std::string_view name, const std::string& value);
 
 // Records a write, after which the primary of this term was at `position`.
-void note_write(session_state& s, term_number term, log_position position);
+void record_write(session_state& s, term_number term, log_position position);
 
 // Records a read from this server. Any later position of the server bounds what the read observed.
-void note_read(session_state& s, const server_id& server, time_point finished_at);
+void record_read(session_state& s, const server_id& server, time_point finished_at);
 
 // Updates the session from newer position samples: the floor of a session without a token, and the position
 // that the last read may have observed.
--- a/src/daemon/agent.cpp
+++ b/src/daemon/agent.cpp
@@ -275,7 +275,7 @@
         // The settings' addresses stay the last resort.
         control_.insert(control_.end(), config_.control_addresses.begin(), config_.control_addresses.end());
     }
-    if (reply.lost && apply_lost_update(lost_, *reply.lost, cluster_)) {
+    if (reply.lost && apply_lost_instances_update(lost_, *reply.lost, cluster_)) {
         log_event(severity::info, "lost_instances",
                   {{"lost", static_cast<std::uint64_t>(lost_.instances.size())}, {"number", lost_.version}});
     }
@@ -504,7 +504,7 @@
     const bool whole = !r.id.value.empty() && !r.group.value.empty() && r.port > 0 &&
                        parse_endpoint(r.host + ":1").has_value();
     const bool others_tell = std::any_of(cluster_.servers.begin(), cluster_.servers.end(),
-                                         [](const auto& s) { return s.second.started != 0; });
+                                         [](const auto& s) { return s.second.start_time_ms != 0; });
     const auto known = cluster_.servers.find(r.id);
     const bool other_group = known != cluster_.servers.end() && known->second.group != r.group &&
                              known->second.start_time_ms == r.start_time_ms;
--- a/src/daemon/loans.cpp
+++ b/src/daemon/loans.cpp
@@ -463,7 +463,7 @@
     const auto server = s.servers.find(terms.key.server);
     const bool by_workspace = !terms.workspace.value.empty() && server != s.servers.end();
     const failure_domain& near = by_workspace ? server->second.domain : config_.domain;
-    std::vector<lender> candidates;
+    std::vector<forwarding_peer> candidates;
     for (const instance_id& id : lenders_of(terms.key)) {
         const auto record = s.instances.find(id);
         if (record == s.instances.end()) {
@@ -475,7 +475,7 @@
                               .rank = by_workspace ? rank_for_workspace(terms.workspace, address) : 0,
                               .lost = cluster_.is_lost(id)});
     }
-    return order_lenders(book_, terms.key.server, candidates, now(), random_);
+    return order_forwarding_peers(book_, terms.key.server, candidates, now(), random_);
 }
 
 void connection_loans::note_home(const std::string& address, bool answers) {
@@ -496,9 +496,9 @@
     }
     const bool needs_lender = cluster_.is_unreachable(key.server) || pools_.is_turned_away(key);
     if (outcome.answered && needs_lender) {
-        book_.last_lender[key.server] = address;
+        book_.last_forwarding_peer[key.server] = address;
     } else {
-        book_.last_lender.erase(key.server);
+        book_.last_forwarding_peer.erase(key.server);
     }
 }
 
--- a/src/daemon/loans.hpp
+++ b/src/daemon/loans.hpp
@@ -155,7 +155,7 @@
     std::vector<std::pair<server_id, failure_domain>> homes_servers_; // that `homes_` was made from
     std::map<share_key, order_place> order_places_;
     std::uint64_t homes_lost_number_ = 0;
-    lender_tracker book_;
+    forwarding_peer_tracker book_;
     http2_clients clients_;
     std::uint64_t borrowed_ = 0;
     std::uint64_t lent_ = 0;
--- a/src/daemon/request_path.cpp
+++ b/src/daemon/request_path.cpp
@@ -485,7 +485,7 @@
         return;
     }
     if (!r.was_write || r.what.kind == statement_kind::begin_read_only) {
-        note_read(state, r.server, at);
+        record_read(state, r.server, at);
     }
     if (r.what.may_use_replica) {
         owner_.counts.note_read(metric(), r.on_primary ? request_target::primary : request_target::replica,
--- a/src/daemon/request_run.cpp
+++ b/src/daemon/request_run.cpp
@@ -311,7 +311,7 @@
         run_commit();
     } else if (wrote && outcome.position) {
         r.position = outcome.position->position;
-        note_write(state, r.term, r.position);
+        record_write(state, r.term, r.position);
         finish_success();
     } else if (wrote) {
         run_position();
@@ -355,7 +355,7 @@
             return;
         }
         r.position = probed->position;
-        note_write(state, r.term, r.position);
+        record_write(state, r.term, r.position);
         if (service.write_safety) {
             wait_for_safety();
         } else {
--- a/src/daemon/server_loads.hpp
+++ b/src/daemon/server_loads.hpp
@@ -44,7 +44,7 @@
     // [a borrower's side]
     // What is known of the server's group is a little old.
     [[nodiscard]] bool wants(const server_id& server);
-    void note_sent(const server_id& server) { larchpin::note_sent(book_, server); }
+    void note_sent(const server_id& server) { larchpin::record_sent(book_, server); }
     // An answer to a question that was sent then; tells what it took beyond the lender's own account.
     duration take(const share_key& key, const wire::loan_reply& reply, time_point sent);
 
--- a/src/io/codec.cpp
+++ b/src/io/codec.cpp
@@ -399,7 +399,7 @@
     }
     v.control_addresses.assign(m.control_addresses().begin(), m.control_addresses().end());
     if (m.has_lost()) {
-        v.lost = lost_update{.version = m.lost().number(),
+        v.lost = lost_instances_update{.version = m.lost().number(),
                            .instances_revision = m.lost().instances_revision(),
                            .bits = m.lost().bits()};
     }
--- a/tests/balance_test.cpp
+++ b/tests/balance_test.cpp
@@ -158,11 +158,11 @@
     void read() {
         load_cache& book = caches_[std::uniform_int_distribution<std::size_t>(0, router_count - 1)(random_)];
         for (std::size_t i = 0; i < servers_.size(); ++i) {
-            const auto& told = servers_[i].published_loads;
-            const auto received = std::find_if(told.rbegin(), told.rend(),
+            const auto& reports = servers_[i].published_loads;
+            const auto received = std::find_if(reports.rbegin(), reports.rend(),
                                                [&](const auto& l) { return l.as_of <= now_ - load_age_; });
             const auto known = find_load(book, servers_[i].id, now_);
-            if (received != told.rend() && (!known || known->load.as_of < received->as_of)) {
+            if (received != reports.rend() && (!known || known->load.as_of < received->as_of)) {
                 update_load(book, *received);
             }
             view_.servers[i + 1].load = find_load(book, servers_[i].id, now_);
@@ -583,7 +583,7 @@
 
 // An instance at a fifth of its normal speed delays each answer by tens of milliseconds.
 TEST(slow_peers, are_distinguished_from_remote_ones_by_their_delay) {
-    lender_tracker b;
+    forwarding_peer_tracker b;
     for (int i = 0; i < 20; ++i) {
         record_round_trip_delay(b, "near", milliseconds{1});
         record_round_trip_delay(b, "far", milliseconds{7});
--- a/tests/cluster_model.cpp
+++ b/tests/cluster_model.cpp
@@ -101,8 +101,8 @@
     ++c.incarnation;
     c.sync_free_at = now_;
     // The founder retries if it stopped before anything was on its disk.
-    const bool is_first_life = c.incarnation == 1;
-    if (id == founder_ && !is_first_life) {
+    const bool is_first_start = c.incarnation == 1;
+    if (id == founder_ && !is_first_start) {
         bootstrap(c.core, clock_of(c), random_);
     }
 }
@@ -252,13 +252,13 @@
 
 void cluster_model::start_daemon(std::size_t i) {
     model_daemon& d = daemons_[i];
-    const std::uint64_t next_life = d.incarnation + 1;
+    const std::uint64_t next_incarnation = d.incarnation + 1;
     model_daemon fresh;
     fresh.id = d.id;
     fresh.domain = d.domain;
     fresh.clock_rate = d.clock_rate;
     fresh.clock_offset = d.clock_offset;
-    fresh.incarnation = next_life;
+    fresh.incarnation = next_incarnation;
     fresh.up = true;
     d = fresh;
 }
@@ -353,24 +353,24 @@
 void cluster_model::send_renewal(std::size_t i) {
     model_daemon& d = daemons_[i];
     const renewal r = make_renewal(d);
-    const std::size_t asked = d.control_index;
+    const std::size_t target = d.control_index;
     const time_point sent = clock_of(d);
     d.control_index = (d.control_index + (chance(0.3) ? 1U : 0U)) % controls_.size();
-    schedule_delivery([this, i, asked, r, sent, control_life = controls_[asked].incarnation] {
-        receive_renewal(i, asked, r, sent, control_life);
+    schedule_delivery([this, i, target, r, sent, control_life = controls_[target].incarnation] {
+        receive_renewal(i, target, r, sent, control_life);
     });
 }
 
 void cluster_model::receive_renewal(std::size_t i, std::size_t asked, const renewal& r, time_point sent,
-                                    std::uint64_t control_life) {
+                                    std::uint64_t control_incarnation) {
     model_control& c = controls_[asked];
-    if (!c.up || c.incarnation != control_life || now_ < c.partitioned_until) {
+    if (!c.up || c.incarnation != control_incarnation || now_ < c.partitioned_until) {
         return;
     }
     if (!is_running(c)) {
         // The message stays in the frozen process's socket, and is read before the clock is checked.
-        queue_.emplace(c.frozen_until, [this, i, asked, r, sent, control_life] {
-            receive_renewal(i, asked, r, sent, control_life);
+        queue_.emplace(c.frozen_until, [this, i, asked, r, sent, control_incarnation] {
+            receive_renewal(i, asked, r, sent, control_incarnation);
         });
         return;
     }
@@ -604,8 +604,8 @@
         }
         return;
     }
-    const bool over = server->leave_acked_at && now_ > *server->leave_acked_at + leave_time * 2;
-    if (over && !server->is_primary && is_running(*server)) {
+    const bool leave_time_has_ended = server->leave_acked_at && now_ > *server->leave_acked_at + leave_time * 2;
+    if (leave_time_has_ended && !server->is_primary && is_running(*server)) {
         server->leaving = false;
         server->leave_acked_at.reset();
         server->record.start_time_ms += 1'000;
--- a/tests/cluster_model.hpp
+++ b/tests/cluster_model.hpp
@@ -146,7 +146,7 @@
     renewal make_renewal(const model_daemon& d) const;
     void send_renewal(std::size_t i);
     void receive_renewal(std::size_t i, std::size_t asked, const renewal& r, time_point sent,
-                         std::uint64_t control_life);
+                         std::uint64_t control_incarnation);
     void receive_reply(model_daemon& d, std::size_t asked, const std::optional<renewal_reply>& reply,
                        time_point sent);
     void catch_up(model_daemon& d, const control_core& from);
--- a/tests/control_test.cpp
+++ b/tests/control_test.cpp
@@ -1161,9 +1161,9 @@
     const holder_number gone = assign_holder_number(l, {"gone"});
     l.held_until[a] = now + milliseconds{1};
     l.held_until[b] = now + milliseconds{1};
-    note_holder(l, key, a, 3, 6);
-    note_holder(l, key, b, 4, 2);
-    note_holder(l, key, gone, 5, 5);
+    record_holder(l, key, a, 3, 6);
+    record_holder(l, key, b, 4, 2);
+    record_holder(l, key, gone, 5, 5);
     const share_decision expected{.target = 6, .held_by_others = 4};
     EXPECT_EQ(decide_share(l, key, a, 6, 8, now), expected)
         << "a daemon with an expired lease does not count";
--- a/tests/core_test.cpp
+++ b/tests/core_test.cpp
@@ -320,13 +320,13 @@
     const auto answer_for_a_second = [&](duration took) {
         for (int i = 0; i < 100; ++i) {
             now += std::chrono::milliseconds{10};
-            note_statement_answered(l, {.took = took, .klass = 1, .share = 12}, now);
+            record_statement_answered(l, {.took = took, .klass = 1, .share = 12}, now);
         }
     };
     answer_for_a_second(std::chrono::milliseconds{20});
     EXPECT_TRUE(may_send(l, 1000)) << "there is no limit before the first refusal";
-    note_overload(l, 16, now);
-    note_overload(l, 8, now + std::chrono::milliseconds{10});
+    record_overload(l, 16, now);
+    record_overload(l, 8, now + std::chrono::milliseconds{10});
     EXPECT_EQ(l.aimd_limit, 8U) << "refusals in quick succession count once";
     answer_for_a_second(std::chrono::milliseconds{200});
     EXPECT_EQ(l.aimd_limit, 8U);
@@ -336,7 +336,7 @@
         answer_for_a_second(std::chrono::milliseconds{20});
     }
     EXPECT_EQ(l.aimd_limit, 0U) << "fast answers remove the limit";
-    note_overload(l, 1, now);
+    record_overload(l, 1, now);
     EXPECT_EQ(l.aimd_limit, 1U) << "the limit is at least one";
 }
 
@@ -346,7 +346,7 @@
     for (int i = 0; i < 400; ++i) {
         now += std::chrono::milliseconds{10};
         const std::size_t klass = i % 2 == 0 ? 0 : 1;
-        note_statement_answered(
+        record_statement_answered(
             l, {.took = std::chrono::milliseconds{klass == 0 ? 5 : 60}, .klass = klass, .share = 12}, now);
     }
     EXPECT_LT(l.slowdown, 1.2);
--- a/tests/cut_off_test.cpp
+++ b/tests/cut_off_test.cpp
@@ -89,7 +89,7 @@
         i.last_reply_seq = reply.seq;
         if (reply.lost) {
             ++i.news;
-            EXPECT_TRUE(apply_lost_update(i.known, *reply.lost, cluster));
+            EXPECT_TRUE(apply_lost_instances_update(i.known, *reply.lost, cluster));
         }
         take(actions);
     }
@@ -126,12 +126,12 @@
             }
         }
         return std::all_of(instances.begin(), instances.end(),
-                           [&](const auto& i) { return i.second.cut || i.second.known.lost == lost; });
+                           [&](const auto& i) { return i.second.cut || i.second.known.instances == lost; });
     }
 
     [[nodiscard]] bool anyone_calls_any_lost() const {
         return std::any_of(instances.begin(), instances.end(),
-                           [](const auto& i) { return !i.second.known.lost.empty(); });
+                           [](const auto& i) { return !i.second.known.instances.empty(); });
     }
 
     [[nodiscard]] unsigned news() const {
@@ -254,7 +254,7 @@
         }
     }
     s.instances_revision = 7;
-    lost_update news;
+    lost_instances_update news;
     news.version = 12;
     news.instances_revision = 7;
     news.bits = encode_lost(lost, s.instances);
@@ -272,7 +272,7 @@
     const renewal_reply heard = from_wire(m);
     EXPECT_EQ(heard, reply);
     lost_instance_set known;
-    ASSERT_TRUE(heard.lost && apply_lost_update(known, *heard.lost, s));
+    ASSERT_TRUE(heard.lost && apply_lost_instances_update(known, *heard.lost, s));
     EXPECT_EQ(known.instances, lost);
     EXPECT_EQ(known.version, 12U);
 }
@@ -295,11 +295,11 @@
     s.instances[{"a"}].id = {"a"};
     s.instances_revision = 4;
     lost_instance_set known;
-    EXPECT_FALSE(apply_lost_update(known, {.version = 9, .instances_revision = 5, .bits = "\1"}, s));
+    EXPECT_FALSE(apply_lost_instances_update(known, {.version = 9, .instances_revision = 5, .bits = "\1"}, s));
     EXPECT_EQ(known.version, 0U) << "so that they come again";
-    EXPECT_TRUE(apply_lost_update(known, {.version = 9, .instances_revision = 4, .bits = "\1"}, s));
+    EXPECT_TRUE(apply_lost_instances_update(known, {.version = 9, .instances_revision = 4, .bits = "\1"}, s));
     EXPECT_TRUE(known.instances.contains({"a"}));
-    EXPECT_TRUE(apply_lost_update(known, {}, s));
+    EXPECT_TRUE(apply_lost_instances_update(known, {}, s));
     EXPECT_TRUE(known.instances.empty());
 }
 
@@ -308,13 +308,13 @@
 //-----------------------------------------------------------------------------
 
 TEST(lenders, lost_ones_are_asked_last) {
-    const std::vector<lender> homes{{"a", false, 0, true}, {"b", true}};
-    lender_tracker book;
+    const std::vector<forwarding_peer> homes{{"a", false, 0, true}, {"b", true}};
+    forwarding_peer_tracker book;
     std::mt19937_64 random{1};
     const time_point now{std::chrono::seconds{10}};
-    EXPECT_EQ(order_lenders(book, {"s"}, homes, now, random).front(), "b");
+    EXPECT_EQ(order_forwarding_peers(book, {"s"}, homes, now, random).front(), "b");
     mark_silent(book, "b", now);
-    EXPECT_EQ(order_lenders(book, {"s"}, homes, now, random).front(), "b");
+    EXPECT_EQ(order_forwarding_peers(book, {"s"}, homes, now, random).front(), "b");
 }
 
 // The pattern: 43 of 67 instances cut off, so that some servers have all their homes among them. Instances
--- a/tests/ordering_test.cpp
+++ b/tests/ordering_test.cpp
@@ -161,11 +161,11 @@
 
     announcing_server() { start_leading(control, 3, now); }
 
-    void announce(unsigned told, std::uint64_t started) {
+    void announce(unsigned announced_slots, std::uint64_t started) {
         server_announcement a;
         a.record = {.id = {"s1"}, .group = {"g"}, .host = "127.0.0.1", .port = 5, .domain = {"z"}};
         a.record.start_time_ms = started;
-        a.record.slots = told;
+        a.record.slots = announced_slots;
         a.is_primary = true;
         a.timeline = 1;
         a.sequence = ++sequence;
@@ -242,11 +242,11 @@
     std::map<request_number, transaction> transactions; // requested
     std::map<connection_number, transaction> open;      // in progress
     std::map<connection_number, request_class> classes;
-    std::map<connection_number, time_point> given;
+    std::map<connection_number, time_point> assigned_at;
     std::map<connection_number, time_point> next_statement_at;
     std::vector<request_number> used;
     std::vector<request_number> refused;
-    unsigned most_at_once = 0;
+    unsigned max_concurrent = 0;
     duration waited_by_transactions{0};
 
     explicit simulated_pool(unsigned permits, unsigned share = few_connections) {
@@ -254,7 +254,7 @@
         p.limit.permits = permits;
         p.background_share = 100;
     }
-    void carry_out(const pool_actions& actions) {
+    void apply_actions(const pool_actions& actions) {
         for (const pool_action& a : actions) {
             if (const auto* o = std::get_if<open_connection>(&a)) {
                 begin({.connection = o->connection,
@@ -263,7 +263,7 @@
                        .ends = {}});
             } else if (const auto* u = std::get_if<assign_connection>(&a)) {
                 used.push_back(u->request);
-                given[u->connection] = now;
+                assigned_at[u->connection] = now;
                 if (transactions.contains(u->request)) {
                     open[u->connection] = transactions[u->request];
                 }
@@ -286,7 +286,7 @@
     void send(const server_work& w) {
         at_server.push_back(w);
         start_work();
-        most_at_once = std::max(most_at_once, static_cast<unsigned>(at_server.size()));
+        max_concurrent = std::max(max_concurrent, static_cast<unsigned>(at_server.size()));
     }
     void start_work() {
         for (std::size_t i = 0; i < at_server.size() && i < slots; ++i) {
@@ -295,7 +295,7 @@
             }
         }
     }
-    request_number ask(request_class klass, duration length, const std::string& workspace = "",
+    request_number submit(request_class klass, duration length, const std::string& workspace = "",
                        transaction t = {}) {
         const request_number r = next_request++;
         lengths[r] = length;
@@ -306,14 +306,14 @@
         request_connection(
             p, {.request = r, .klass = klass, .deadline = now + seconds{60}, .workspace = {workspace}}, now,
             next, actions);
-        carry_out(actions);
+        apply_actions(actions);
         return r;
     }
     void finish(const server_work& w) {
         pool_actions actions;
         if (w.is_opening) {
             connection_opened(p, w.connection, now, next, actions);
-            carry_out(actions);
+            apply_actions(actions);
             return;
         }
         const auto under_way = open.find(w.connection);
@@ -323,9 +323,9 @@
             next_statement_at[w.connection] = now + under_way->second.pause;
         } else {
             open.erase(w.connection);
-            release_connection(p, w.connection, true, now - given[w.connection], now, next, actions);
+            release_connection(p, w.connection, true, now - assigned_at[w.connection], now, next, actions);
         }
-        carry_out(actions);
+        apply_actions(actions);
     }
     // Advances the virtual time by one millisecond.
     void step() {
@@ -356,7 +356,7 @@
         }
         pool_actions actions;
         expire_waiters(p, now, next, actions);
-        carry_out(actions);
+        apply_actions(actions);
     }
     void run(milliseconds time) {
         for (auto i = time.count(); i > 0; --i) {
@@ -368,11 +368,11 @@
 TEST(permits, limit_concurrency_to_slots_plus_one_including_new_connections) {
     simulated_pool s(slots + 1);
     for (int i = 0; i < 60; ++i) {
-        s.ask(request_class::normal, milliseconds{20});
+        s.submit(request_class::normal, milliseconds{20});
     }
     EXPECT_EQ(s.at_server.size(), slots + 1) << "connection setups";
     s.run(milliseconds{600});
-    EXPECT_EQ(s.most_at_once, slots + 1);
+    EXPECT_EQ(s.max_concurrent, slots + 1);
     EXPECT_EQ(s.used.size(), 60U);
     EXPECT_TRUE(s.refused.empty());
     EXPECT_LE(open_count(s.p), slots + 2) << "more connections would never be used concurrently";
@@ -381,22 +381,22 @@
 TEST(permits, standby_has_one) {
     simulated_pool s(1);
     for (int i = 0; i < 5; ++i) {
-        s.ask(request_class::normal, milliseconds{20});
+        s.submit(request_class::normal, milliseconds{20});
     }
     s.run(milliseconds{200});
-    EXPECT_EQ(s.most_at_once, 1U);
+    EXPECT_EQ(s.max_concurrent, 1U);
     EXPECT_EQ(s.used.size(), 5U);
 }
 
 // A transaction that waited behind new work would hold its locks for that time.
 TEST(permits, open_transaction_does_not_wait_for_one) {
     simulated_pool s(slots + 1);
-    s.ask(request_class::background, milliseconds{8}, "", {.statements_left = 3, .pause = milliseconds{5}});
+    s.submit(request_class::background, milliseconds{8}, "", {.statements_left = 3, .pause = milliseconds{5}});
     s.run(milliseconds{21});
     ASSERT_EQ(s.open.size(), 1U);
     const connection_number c = s.open.begin()->first;
     for (int i = 0; i < 50; ++i) {
-        s.ask(request_class::critical, milliseconds{10});
+        s.submit(request_class::critical, milliseconds{10});
     }
     while (s.next_statement_at.contains(c)) {
         s.step();
@@ -414,11 +414,11 @@
 TEST(permits, are_not_held_by_idle_transactions) {
     simulated_pool s(slots + 1);
     for (int i = 0; i < 8; ++i) {
-        s.ask(request_class::normal, milliseconds{8}, "", {.statements_left = 1, .pause = seconds{30}});
+        s.submit(request_class::normal, milliseconds{8}, "", {.statements_left = 1, .pause = seconds{30}});
     }
     s.run(milliseconds{200});
     EXPECT_EQ(s.open.size(), 8U) << "all transactions are idle";
-    const request_number r = s.ask(request_class::normal, milliseconds{8});
+    const request_number r = s.submit(request_class::normal, milliseconds{8});
     s.run(milliseconds{20});
     EXPECT_NE(std::find(s.used.begin(), s.used.end(), r), s.used.end());
 }
@@ -427,18 +427,18 @@
 TEST(permits, are_reserved_for_a_workspace_without_connection) {
     simulated_pool s(slots + 1);
     for (int i = 0; i < 40; ++i) {
-        s.ask(request_class::normal, milliseconds{10}, "large");
+        s.submit(request_class::normal, milliseconds{10}, "large");
     }
     s.run(milliseconds{60});
     const auto turn =
         waiting_count(s.p) * 10 / slots; // ms until the requests ahead have run, in the order of arrival
-    const request_number small = s.ask(request_class::normal, milliseconds{10}, "small");
+    const request_number small = s.submit(request_class::normal, milliseconds{10}, "small");
     unsigned passed = 0;
     while (std::find(s.used.begin(), s.used.end(), small) == s.used.end() && passed < 200) {
         s.step();
         ++passed;
         while (waiting_count(s.p) < 30) {
-            s.ask(request_class::normal, milliseconds{10}, "large");
+            s.submit(request_class::normal, milliseconds{10}, "large");
         }
     }
     EXPECT_LE(passed, turn + 27U) << "15 ms for the permit, 12 ms for the connection setup";
@@ -448,26 +448,26 @@
 TEST(permits, can_be_reduced_and_raised_under_load) {
     simulated_pool s(0);
     for (int i = 0; i < 20; ++i) {
-        s.ask(request_class::normal, milliseconds{20});
+        s.submit(request_class::normal, milliseconds{20});
     }
     s.run(milliseconds{1});
     pool_actions actions;
     set_permits(s.p, 1, 0, s.now, s.next, actions);
-    s.carry_out(actions);
+    s.apply_actions(actions);
     s.run(milliseconds{20 * 12 / slots + 20 * 20 + 10}); // connection setups, then statements
     EXPECT_EQ(s.used.size(), 20U) << "one at a time, after the first ones have ended";
     for (int i = 0; i < 20; ++i) {
-        s.ask(request_class::normal, milliseconds{20});
+        s.submit(request_class::normal, milliseconds{20});
     }
     EXPECT_EQ(s.at_server.size(), 1U);
     actions.clear();
     set_permits(s.p, slots + 1, 0, s.now, s.next, actions);
-    s.carry_out(actions);
+    s.apply_actions(actions);
     EXPECT_EQ(s.at_server.size(), slots + 1);
     actions.clear();
     set_permits(s.p, slots + 1, slots + 1, s.now, s.next, actions);
     const std::size_t at_server = s.at_server.size();
-    s.carry_out(actions);
+    s.apply_actions(actions);
     s.run(milliseconds{400});
     EXPECT_EQ(running_count(s.p), 0U) << "another pool of the server holds all permits";
     EXPECT_LE(s.at_server.size(), at_server);
@@ -508,7 +508,7 @@
                             {.permits = 3, .claims_at_most = 0, .keeps_one = false, .is_ordering = true});
         }
     }
-    void ask(const share_key& key) {
+    void submit(const share_key& key) {
         pools.request(key, server, 100, {.deadline = larchpin::now() + seconds{60}},
                       [this, key](const pool_answer& answer) {
                           ASSERT_TRUE(answer.connection);
@@ -528,11 +528,11 @@
 TEST(several_services, share_the_permits_of_one_server_in_turn) {
     two_services s;
     for (int i = 0; i < 30; ++i) {
-        s.ask(s.a);
+        s.submit(s.a);
     }
     EXPECT_EQ(s.running.size(), 3U);
     for (int i = 0; i < 10; ++i) {
-        s.ask(s.b);
+        s.submit(s.b);
     }
     EXPECT_EQ(s.running.size(), 3U) << "the permits belong to the server";
     for (int i = 0; i < 20; ++i) {
@@ -569,12 +569,12 @@
                 const std::string workspace = "w" + std::to_string(number(30));
                 const unsigned kind = number(10);
                 if (kind < 4) {
-                    const request_number r = s.ask(request_class::critical, milliseconds{8}, workspace);
+                    const request_number r = s.submit(request_class::critical, milliseconds{8}, workspace);
                     asked[r] = s.now;
                 } else if (kind < 9) {
-                    s.ask(request_class::normal, milliseconds{12 + number(18)}, workspace);
+                    s.submit(request_class::normal, milliseconds{12 + number(18)}, workspace);
                 } else {
-                    s.ask(request_class::normal, milliseconds{8}, workspace,
+                    s.submit(request_class::normal, milliseconds{8}, workspace,
                           {.statements_left = 2, .pause = milliseconds{30}});
                 }
             }
@@ -598,7 +598,7 @@
         ASSERT_GT(counted, seconds{8}) << "demand must exceed the capacity";
         EXPECT_LT(idle * 50, counted)
             << "seed " << seed << ": idle " << idle.count() << " of " << counted.count();
-        EXPECT_LE(s.most_at_once, slots + 1 + 6) << "at most six more, for statements of open transactions";
+        EXPECT_LE(s.max_concurrent, slots + 1 + 6) << "at most six more, for statements of open transactions";
         EXPECT_GT(s.p.usage.waited, duration{0});
         std::sort(urgent_waits.begin(), urgent_waits.end());
         EXPECT_LT(urgent_waits.at(urgent_waits.size() * 9 / 10), milliseconds{60}) << "seed " << seed;
--- a/tests/request_queue_test.cpp
+++ b/tests/request_queue_test.cpp
@@ -334,8 +334,8 @@
     };
     const auto send = [&] {
         const queued_request r = q.waiting[order_requests(q, now).front()];
-        note_sent(q, r.request, now);
-        note_actual_cost(q, r.workspace, {.took = milliseconds{10}, .charged = r.cost});
+        record_sent(q, r.request, now);
+        record_actual_cost(q, r.workspace, {.took = milliseconds{10}, .charged = r.cost});
         now += milliseconds{2};
         return r.workspace.value;
     };
@@ -417,7 +417,7 @@
                                 .cost = milliseconds{number(1, 50)}});
             }
             const queued_request r = q.waiting[order_requests(q, now).front()];
-            note_sent(q, r.request, now);
+            record_sent(q, r.request, now);
             if (r.request == 1) {
                 break;
             }
--- a/tests/session_fuzz_test.cpp
+++ b/tests/session_fuzz_test.cpp
@@ -162,7 +162,7 @@
         s.required_position = std::max(s.required_position, primary().position);
         s.written = primary().position;
         s.idle = false;
-        note_write(s.state, view_.record.term, primary().position);
+        record_write(s.state, view_.record.term, primary().position);
     }
 
     void read(model_session& s) {
@@ -222,7 +222,7 @@
             }
         }
         s.required_position = std::max(s.required_position, seen);
-        note_read(s.state, d.server, now_);
+        record_read(s.state, d.server, now_);
     }
 
     // Reconnects to another proxy with the token. The token carries the writes of the session, not its reads.
