--- a/bench/control_bench.cpp
+++ b/bench/control_bench.cpp
@@ -350,8 +350,11 @@
                             .timeline = 1,
                             .position = static_cast<log_position>(i)});
     }
-    g.record = {
-        .id = {"g"}, .term = 1, .primary = {"s0"}, .timeline = 1, .term_starts = {{.term = 1, .position = 0}}};
+    g.record = {.id = {"g"},
+                .term = 1,
+                .primary = {"s0"},
+                .timeline = 1,
+                .term_starts = {{.term = 1, .position = 0}}};
     g.positions = &positions;
     for (const char* id : {"s0", "s1", "s2"}) {
         g.servers.push_back({.id = {id}});
--- a/bench/model/loaded_group.cpp
+++ b/bench/model/loaded_group.cpp
@@ -193,8 +193,11 @@
             v.latency = expected_latency(entries_[e].health[s], now_);
             view.servers.push_back(v);
         }
-        read_context wish{
-            .staleness = kind.staleness, .arrived_at = asked_at, .now = now_, .lease_live = true, .excluded = {}};
+        read_context wish{.staleness = kind.staleness,
+                          .arrived_at = asked_at,
+                          .now = now_,
+                          .lease_live = true,
+                          .excluded = {}};
         session_state session;
         session.arrived_at = asked_at;
         const routing_decision d =
@@ -254,7 +257,8 @@
                                                record_abandoned(entries_[a.entry].health[a.server]);
                                                give_up(a.who, a.entry);
                                            }};
-        const int parts = (transaction ? transaction_time_divisor : 1) * (policy_.a_third_of_patience ? 3 : 1);
+        const int parts =
+            (transaction ? transaction_time_divisor : 1) * (policy_.a_third_of_patience ? 3 : 1);
         pool_actions actions;
         request_connection(entries_[e].pools[*s],
                            {.request = number,
@@ -287,9 +291,10 @@
         pool_state& pool = entries_[a.entry].pools[a.server];
         --a.left;
         pool_actions actions;
-        statement_ended(pool, a.connection,
-                        {.took = now_ - sent_at, .klass = kind.klass, .overloaded = false, .in_transaction = a.left > 0},
-                        now_, next_connection_, actions);
+        statement_ended(
+            pool, a.connection,
+            {.took = now_ - sent_at, .klass = kind.klass, .overloaded = false, .in_transaction = a.left > 0},
+            now_, next_connection_, actions);
         if (policy_.no_running_limit || pattern_.running_at_most > 0) {
             pool.limit.aimd_limit = pattern_.running_at_most;
         }
--- a/src/core/announcements.cpp
+++ b/src/core/announcements.cpp
@@ -315,7 +315,8 @@
                             now - latest->second.received_at >= c.config.lost_server_timeout;
         const auto group = s.groups.find(server.group);
         const bool is_primary = group != s.groups.end() && group->second.primary == id;
-        if (silent && !is_primary && !is_reported_alive(c, id, now) && c.proposed_removals.insert(id).second) {
+        if (silent && !is_primary && !is_reported_alive(c, id, now) &&
+            c.proposed_removals.insert(id).second) {
             actions.emplace_back(propose_command{remove_server{id}});
         }
     }
--- a/src/core/control.cpp
+++ b/src/core/control.cpp
@@ -5,7 +5,7 @@
 #include "core/control.hpp"
 
 #include "core/announcements.hpp"
-#include "core/control_talk.hpp"
+#include "core/control_pacing.hpp"
 #include "core/failover.hpp"
 #include "core/lease.hpp"
 #include "core/rendezvous.hpp"
@@ -87,8 +87,8 @@
 
 // Returns an update for a daemon with another version. A daemon keeps an earlier leader's set until this
 // leader has completed a check.
-std::optional<lost_instances_update> make_lost_instances_update(const control_state& c, const cluster_state& s,
-                                            const renewal& r) {
+std::optional<lost_instances_update> make_lost_instances_update(const control_state& c,
+                                                                const cluster_state& s, const renewal& r) {
     const std::uint64_t version = lost_version(c);
     if (r.lost_version == version || !c.lost.is_known) {
         return std::nullopt;
--- a/src/core/control.hpp
+++ b/src/core/control.hpp
@@ -89,7 +89,7 @@
     std::vector<share_grant> shares;
     std::vector<server_id> servers_to_observe;  // probed by this daemon
     std::vector<std::string> control_addresses; // peer listeners of the control instances
-    std::optional<lost_instances_update> lost;            // unset if the daemon's version is current
+    std::optional<lost_instances_update> lost;  // unset if the daemon's version is current
     duration renew_after{0};                    // between sending two renewals; 0 = unspecified
     bool operator==(const renewal_reply&) const = default;
 };
--- a/src/core/control_core.cpp
+++ b/src/core/control_core.cpp
@@ -4,7 +4,7 @@
 //   [applying]  [leading]  [members]  [public functions]
 #include "core/control_core.hpp"
 
-#include "core/control_talk.hpp"
+#include "core/control_pacing.hpp"
 
 #include <algorithm>
 
--- a/src/core/control_talk.cpp
+++ b/src/core/control_pacing.cpp
@@ -1,4 +1,4 @@
-#include "core/control_talk.hpp"
+#include "core/control_pacing.hpp"
 
 #include <algorithm>
 #include <variant>
--- a/src/core/failover.cpp
+++ b/src/core/failover.cpp
@@ -17,10 +17,10 @@
 void add_event(control_actions& actions, const failover& f, const std::string& what, const group_id& group,
                const server_id& server, time_point now) {
     actions.emplace_back(report_event{.event = what,
-                                    .group = group,
-                                    .server = server,
-                                    .since_suspected = now - f.started_at,
-                                    .planned = f.planned});
+                                      .group = group,
+                                      .server = server,
+                                      .since_suspected = now - f.started_at,
+                                      .planned = f.planned});
 }
 
 void enter_step(failover& f, failover_step step, time_point now) {
@@ -348,7 +348,8 @@
 
 bool is_leaving(const cluster_state& s, const server_id& server) {
     const auto known = s.servers.find(server);
-    return server_settings(s.current_table, server).leaving || (known != s.servers.end() && known->second.leaving);
+    return server_settings(s.current_table, server).leaving ||
+           (known != s.servers.end() && known->second.leaving);
 }
 
 bool should_replace_leaving_primary(control_state& c, const cluster_state& s, const group_record& group,
@@ -358,7 +359,8 @@
         return false;
     }
     const auto last_attempt = c.last_switchover_at.find(group.id);
-    if (last_attempt != c.last_switchover_at.end() && now - last_attempt->second < c.config.switchover_retry_interval) {
+    if (last_attempt != c.last_switchover_at.end() &&
+        now - last_attempt->second < c.config.switchover_retry_interval) {
         return false;
     }
     const auto servers = servers_of(s, group.id);
@@ -484,7 +486,8 @@
             c.config.always_promote && a.server == group.primary && a.timeline == group.timeline;
         if (a.answered && a.is_primary && (has_new_timeline || is_repromoted_primary)) {
             propose_new_primary(s, group, f, a, now, actions);
-        } else if (a.outcome_unknown && s.servers.contains(a.server) && now - f.step_started_at < c.config.promotion_timeout) {
+        } else if (a.outcome_unknown && s.servers.contains(a.server) &&
+                   now - f.step_started_at < c.config.promotion_timeout) {
             request_promotion(c, s, group, f, f.promotion_timeline, now, actions);
         } else {
             f.failed_candidates.insert(a.server);
--- a/src/core/lenders.cpp
+++ b/src/core/forwarding_peers.cpp
@@ -1,4 +1,4 @@
-#include "core/lenders.hpp"
+#include "core/forwarding_peers.hpp"
 
 #include <algorithm>
 
@@ -20,8 +20,8 @@
 constexpr int smoothing_divisor = 8;
 constexpr std::size_t max_round_trip_delays = 2000;
 
-int preference_class(const forwarding_peer_tracker& tracker, const server_id& server, const forwarding_peer& l,
-                     time_point now) {
+int preference_class(const forwarding_peer_tracker& tracker, const server_id& server,
+                     const forwarding_peer& l, time_point now) {
     const auto last = tracker.last_forwarding_peer.find(server);
     if (last != tracker.last_forwarding_peer.end() && last->second == l.address) {
         return -1;
@@ -62,8 +62,8 @@
     return tracker.silent_until.erase(address) > 0;
 }
 
-void mark_without_connection(forwarding_peer_tracker& tracker, const server_id& server, const std::string& address,
-                             time_point now) {
+void mark_without_connection(forwarding_peer_tracker& tracker, const server_id& server,
+                             const std::string& address, time_point now) {
     tracker.no_connection_until[{server, address}] = now + no_connection_duration;
 }
 
@@ -92,8 +92,8 @@
     return known != tracker.silent_until.end() && now < known->second;
 }
 
-bool is_without_connection(const forwarding_peer_tracker& tracker, const server_id& server, const std::string& address,
-                           time_point now) {
+bool is_without_connection(const forwarding_peer_tracker& tracker, const server_id& server,
+                           const std::string& address, time_point now) {
     const auto known = tracker.no_connection_until.find({server, address});
     return known != tracker.no_connection_until.end() && now < known->second;
 }
@@ -102,9 +102,10 @@
     std::erase_if(tracker.no_connection_until, [now](const auto& w) { return now >= w.second; });
 }
 
-std::vector<std::string> order_forwarding_peers(const forwarding_peer_tracker& tracker, const server_id& server,
-                                       const std::vector<forwarding_peer>& candidates, time_point now,
-                                       std::mt19937_64& random) {
+std::vector<std::string> order_forwarding_peers(const forwarding_peer_tracker& tracker,
+                                                const server_id& server,
+                                                const std::vector<forwarding_peer>& candidates,
+                                                time_point now, std::mt19937_64& random) {
     std::vector<forwarding_peer> order = candidates;
     std::shuffle(order.begin(), order.end(), random);
     std::stable_sort(order.begin(), order.end(), [&](const forwarding_peer& x, const forwarding_peer& y) {
--- a/src/core/lenders.hpp
+++ b/src/core/forwarding_peers.hpp
@@ -33,8 +33,9 @@
 struct forwarding_peer_tracker {
     std::map<std::string, time_point> silent_until; // peers that did not answer
     std::map<std::pair<server_id, std::string>, time_point>
-        no_connection_until;                      // peers without a connection to the server
-    std::map<server_id, std::string> last_forwarding_peer; // last successful peer, while connections are scarce
+        no_connection_until; // peers without a connection to the server
+    std::map<server_id, std::string>
+        last_forwarding_peer; // last successful peer, while connections are scarce
     std::map<std::string, reachability> reachability_by_address; // peers that requests were sent to
     std::map<std::string, duration>
         round_trip_delays; // smoothed; excludes the processing time that the peer reports
@@ -50,8 +51,8 @@
 bool mark_silent(forwarding_peer_tracker& tracker, const std::string& address, time_point now);
 bool mark_responsive(forwarding_peer_tracker& tracker, const std::string& address);
 // Marks a peer as having no connection to the server for a short time.
-void mark_without_connection(forwarding_peer_tracker& tracker, const server_id& server, const std::string& address,
-                             time_point now);
+void mark_without_connection(forwarding_peer_tracker& tracker, const server_id& server,
+                             const std::string& address, time_point now);
 
 // Records the time that an answer took beyond the processing time stated in it.
 void record_round_trip_delay(forwarding_peer_tracker& tracker, const std::string& address, duration delay);
@@ -63,8 +64,8 @@
 bool is_silent(const forwarding_peer_tracker& tracker, const std::string& address, time_point now);
 
 // Returns true if the peer has recently reported that it has no connection to the server.
-bool is_without_connection(const forwarding_peer_tracker& tracker, const server_id& server, const std::string& address,
-                           time_point now);
+bool is_without_connection(const forwarding_peer_tracker& tracker, const server_id& server,
+                           const std::string& address, time_point now);
 
 // Removes expired entries.
 void clear_expired(forwarding_peer_tracker& tracker, time_point now);
@@ -73,8 +74,9 @@
 // peers, lost peers. Within each group, peers of the preferred failure domain come first, then lower ranks,
 // then random order. Peers that have recently reported no connection are omitted; if all have, one of them is
 // returned.
-std::vector<std::string> order_forwarding_peers(const forwarding_peer_tracker& tracker, const server_id& server,
-                                       const std::vector<forwarding_peer>& candidates, time_point now,
-                                       std::mt19937_64& random);
+std::vector<std::string> order_forwarding_peers(const forwarding_peer_tracker& tracker,
+                                                const server_id& server,
+                                                const std::vector<forwarding_peer>& candidates,
+                                                time_point now, std::mt19937_64& random);
 
 } // namespace larchpin
--- a/src/core/leave_times.cpp
+++ b/src/core/leave_deadlines.cpp
@@ -1,4 +1,4 @@
-#include "core/leave_times.hpp"
+#include "core/leave_deadlines.hpp"
 
 #include "core/cluster_state.hpp"
 
--- a/src/core/lost_instances.cpp
+++ b/src/core/lost_instances.cpp
@@ -64,7 +64,8 @@
 // [daemon]
 //-----------------------------------------------------------------------------
 
-bool apply_lost_instances_update(lost_instance_set& k, const lost_instances_update& update, const cluster_state& s) {
+bool apply_lost_instances_update(lost_instance_set& k, const lost_instances_update& update,
+                                 const cluster_state& s) {
     if (update.version == 0) {
         k = {};
         return true;
--- a/src/core/lost_instances.hpp
+++ b/src/core/lost_instances.hpp
@@ -69,6 +69,7 @@
 
 // Applies an update and returns true. Ignores it and returns false if it refers to another revision of the
 // instances; it is sent again with the next renewal, when this daemon's copy has caught up.
-bool apply_lost_instances_update(lost_instance_set& k, const lost_instances_update& update, const cluster_state& s);
+bool apply_lost_instances_update(lost_instance_set& k, const lost_instances_update& update,
+                                 const cluster_state& s);
 
 } // namespace larchpin
--- a/src/core/pool.cpp
+++ b/src/core/pool.cpp
@@ -75,7 +75,7 @@
     const auto charged = p.charged.find(c);
     if (charged != p.charged.end()) {
         record_actual_cost(p.queue, p.owners.at(c),
-                         {.took = took, .charged = charged->second.cost, .weight = charged->second.weight});
+                           {.took = took, .charged = charged->second.cost, .weight = charged->second.weight});
         charged->second.cost = {};
     }
 }
--- a/src/core/rate_limits.cpp
+++ b/src/core/rate_limits.cpp
@@ -65,7 +65,8 @@
 rate_grant answer_claim(rate_account& a, const workspace_entry& w, double capacity, const instance_id& daemon,
                         const rate_claim& claim, time_point now) {
     granted_operations& granted = a.granted[daemon];
-    granted = {.operations = claim.held + claim.running, .expires_at = now + grantor_lease_duration(grant_lifetime)};
+    granted = {.operations = claim.held + claim.running,
+               .expires_at = now + grantor_lease_duration(grant_lifetime)};
     refill(a, w, capacity, now);
     a.tokens = std::min(a.tokens + claim.returned, capacity);
     rate_grant grant{.workspace = claim.workspace};
--- a/src/core/server_load.hpp
+++ b/src/core/server_load.hpp
@@ -31,7 +31,7 @@
     unsigned slots = 0;                        // concurrent statements; 0 = unknown
     unsigned running = 0;                      // statements running at the server
     unsigned waiting = 0;                      // requests queued at the reporting instance
-    duration response_time{0};         // smoothed (EWMA), from sending to answer; 0 = unknown
+    duration response_time{0};                 // smoothed (EWMA), from sending to answer; 0 = unknown
     duration queue_delay{0};                   // expected queueing delay of a request of class "normal"
     double failure_ratio = 0;                  // 0..1; recent share of failed and unanswered statements
     std::optional<position_sample> position{}; // of the server's log, in the local clock
--- a/src/core/session.cpp
+++ b/src/core/session.cpp
@@ -223,7 +223,8 @@
     } else if (newest.timeline < group.timeline && !group.term_starts.empty()) {
         // The server does not follow the new primary yet. Only positions up to the start of the new term have
         // survived.
-        raise_token(s.floor, s.group, group.term, std::min(newest.position, group.term_starts.back().position));
+        raise_token(s.floor, s.group, group.term,
+                    std::min(newest.position, group.term_starts.back().position));
     }
     s.last_read.reset();
 }
--- a/src/core/share_ledger.cpp
+++ b/src/core/share_ledger.cpp
@@ -35,7 +35,7 @@
 }
 
 void record_holder(share_ledger& l, const share_key& key, holder_number daemon, unsigned held,
-                 unsigned wanted) {
+                   unsigned wanted) {
     share_holder& h = find_or_add(l.accounts[key], daemon);
     h.held = held;
     h.wanted = wanted;
--- a/src/core/share_ledger.hpp
+++ b/src/core/share_ledger.hpp
@@ -52,7 +52,8 @@
 
 holder_number assign_holder_number(share_ledger& l, const instance_id& daemon);
 
-void record_holder(share_ledger& l, const share_key& key, holder_number daemon, unsigned held, unsigned wanted);
+void record_holder(share_ledger& l, const share_key& key, holder_number daemon, unsigned held,
+                   unsigned wanted);
 
 // Clears the connections that a daemon holds and wants of one share.
 void remove_holder(share_ledger& l, const share_key& key, holder_number daemon);
--- a/src/ctl/table_file.cpp
+++ b/src/ctl/table_file.cpp
@@ -348,8 +348,8 @@
 
 std::string format_table(const table_file& t) {
     std::string text = "revision = " + std::to_string(t.revision) + " # of the table that this edits\n" +
-                       "transaction_idle_ms = " + std::to_string(to_ms(t.content.transaction_idle_timeout)) + "\n" +
-                       "needs_key = " + (t.content.requires_key ? "true" : "false") + "\n";
+                       "transaction_idle_ms = " + std::to_string(to_ms(t.content.transaction_idle_timeout)) +
+                       "\n" + "needs_key = " + (t.content.requires_key ? "true" : "false") + "\n";
     for (const service_entry& s : t.content.services) {
         text += "\n" + format_service(s);
     }
--- a/src/daemon/agent.cpp
+++ b/src/daemon/agent.cpp
@@ -5,7 +5,7 @@
 //   [loop]  [renewing]  [watching]  [shares]  [announcements]  [for sessions]
 #include "daemon/agent.hpp"
 
-#include "core/control_talk.hpp"
+#include "core/control_pacing.hpp"
 #include "core/rendezvous.hpp"
 #include "daemon/loans.hpp"
 #include "generated/larchpin.pb.h"
@@ -536,8 +536,8 @@
     heard_announcement& heard = announced_[a.record.id];
     const bool news = heard.last.leaving != a.leaving || heard.last.stopped != a.stopped ||
                       heard.last.is_primary != a.is_primary || heard.last.record != a.record;
-    const bool overtaken =
-        std::pair(a.record.start_time_ms, a.sequence) < std::pair(heard.last.record.start_time_ms, heard.last.sequence);
+    const bool overtaken = std::pair(a.record.start_time_ms, a.sequence) <
+                           std::pair(heard.last.record.start_time_ms, heard.last.sequence);
     if (overtaken) {
         return true;
     }
--- a/src/daemon/agent.hpp
+++ b/src/daemon/agent.hpp
@@ -12,7 +12,7 @@
 #include "core/control.hpp"
 #include "core/health.hpp"
 #include "core/lease.hpp"
-#include "core/leave_times.hpp"
+#include "core/leave_deadlines.hpp"
 #include "core/lost_instances.hpp"
 #include "core/positions.hpp"
 #include "core/reachability.hpp"
--- a/src/daemon/control_node.cpp
+++ b/src/daemon/control_node.cpp
@@ -4,7 +4,7 @@
 //   [loop]  [log and messages]  [actions]  [joining]  [answers to daemons]  [answers to operators]
 #include "daemon/control_node.hpp"
 
-#include "core/control_talk.hpp"
+#include "core/control_pacing.hpp"
 #include "core/rendezvous.hpp"
 #include "generated/larchpin.pb.h"
 #include "io/addresses.hpp"
@@ -705,8 +705,9 @@
         m->set_silent(member.id != core_.self.id && !heard);
     }
     constexpr std::size_t shown_changes = 20;
-    const std::size_t first =
-        core_.cluster.recorded_changes.size() > shown_changes ? core_.cluster.recorded_changes.size() - shown_changes : 0;
+    const std::size_t first = core_.cluster.recorded_changes.size() > shown_changes
+                                  ? core_.cluster.recorded_changes.size() - shown_changes
+                                  : 0;
     for (std::size_t i = first; i < core_.cluster.recorded_changes.size(); ++i) {
         auto* m = reply.add_changes();
         m->set_change_id(core_.cluster.recorded_changes[i].change_id);
--- a/src/daemon/loans.hpp
+++ b/src/daemon/loans.hpp
@@ -19,7 +19,7 @@
 //   [terms]  [loans]
 #pragma once
 
-#include "core/lenders.hpp"
+#include "core/forwarding_peers.hpp"
 #include "daemon/agent.hpp"
 #include "daemon/pools.hpp"
 #include "daemon/server_loads.hpp"
--- a/src/daemon/pools.cpp
+++ b/src/daemon/pools.cpp
@@ -101,9 +101,9 @@
     count_elsewhere(key, found->second, true);
     statement_ended(found->second.state, number, end, now(), next_connection_, actions);
     if (limit.aimd_limit != before && (before == 0 || limit.aimd_limit == 0)) {
-        log_event(
-            severity::info, limit.aimd_limit > 0 ? "server_crowded" : "server_no_longer_crowded",
-            {{"server", key.server.value}, {"running_at_most", static_cast<std::uint64_t>(limit.aimd_limit)}});
+        log_event(severity::info, limit.aimd_limit > 0 ? "server_crowded" : "server_no_longer_crowded",
+                  {{"server", key.server.value},
+                   {"running_at_most", static_cast<std::uint64_t>(limit.aimd_limit)}});
     }
     carry_out(key, actions);
     settle_others(key.server);
@@ -148,7 +148,8 @@
             others_first = others_first || (waiting_count(other.state) > 0 && other.served < p.served);
         }
     }
-    p.state.limit.used_by_other_pools = elsewhere + (let_others_first && others_first ? p.state.limit.permits : 0);
+    p.state.limit.used_by_other_pools =
+        elsewhere + (let_others_first && others_first ? p.state.limit.permits : 0);
 }
 
 // What one pool has left serves the others, those first that have waited longer for their turn.
@@ -167,8 +168,8 @@
         pool& p = pools_[key];
         count_elsewhere(key, p, false);
         pool_actions actions;
-        set_permits(p.state, p.state.limit.permits, p.state.limit.used_by_other_pools, now(), next_connection_,
-                    actions);
+        set_permits(p.state, p.state.limit.permits, p.state.limit.used_by_other_pools, now(),
+                    next_connection_, actions);
         carry_out(key, actions);
     }
 }
--- a/src/daemon/request_path.cpp
+++ b/src/daemon/request_path.cpp
@@ -183,8 +183,11 @@
     if (r.what.may_use_replica && !state.floor && staleness <= duration{0}) {
         owner_.cluster.want_fresh_position(state.group, state.service);
     }
-    const read_context wish{
-        .staleness = staleness, .arrived_at = r.started_at, .now = at, .lease_live = lease, .excluded = r.avoid};
+    const read_context wish{.staleness = staleness,
+                            .arrived_at = r.started_at,
+                            .now = at,
+                            .lease_live = lease,
+                            .excluded = r.avoid};
     take_decision(r.what.may_use_replica ? route_read(view, state, wish, {}, owner_.random)
                                          : route_write(view, lease),
                   view, at);
--- a/src/daemon/watch_replies.cpp
+++ b/src/daemon/watch_replies.cpp
@@ -1,6 +1,6 @@
 #include "daemon/watch_replies.hpp"
 
-#include "core/control_talk.hpp"
+#include "core/control_pacing.hpp"
 #include "generated/larchpin.pb.h"
 #include "io/codec.hpp"
 
@@ -43,7 +43,8 @@
     }
     const std::size_t instances = core.cluster.instances.size();
     const bool is_urgent = applied < core.urgent_revision;
-    const duration interval = is_urgent ? urgent_notification_interval(instances) : notification_interval(instances);
+    const duration interval =
+        is_urgent ? urgent_notification_interval(instances) : notification_interval(instances);
     return applied == 0 || now - last_news >= interval;
 }
 
--- a/src/io/codec.cpp
+++ b/src/io/codec.cpp
@@ -220,9 +220,9 @@
     }
     for (const auto& c : m.changes()) {
         v.recorded_changes.push_back({.change_id = c.change_id(),
-                             .outcome = {.code = to_code(c.code()),
-                                         .table_revision = c.table_revision(),
-                                         .revision = c.revision()}});
+                                      .outcome = {.code = to_code(c.code()),
+                                                  .table_revision = c.table_revision(),
+                                                  .revision = c.revision()}});
     }
     return v;
 }
@@ -400,8 +400,8 @@
     v.control_addresses.assign(m.control_addresses().begin(), m.control_addresses().end());
     if (m.has_lost()) {
         v.lost = lost_instances_update{.version = m.lost().number(),
-                           .instances_revision = m.lost().instances_revision(),
-                           .bits = m.lost().bits()};
+                                       .instances_revision = m.lost().instances_revision(),
+                                       .bits = m.lost().bits()};
     }
     v.renew_after = std::chrono::microseconds{static_cast<std::int64_t>(m.renew_after_us())};
     return v;
--- a/src/io/pg_driver.cpp
+++ b/src/io/pg_driver.cpp
@@ -69,12 +69,14 @@
     backend_sink sink;
     sink.keep_first_row = true;
     sink.on_done = [connection, server, done](const backend_outcome& outcome) {
-        if (outcome.answered && !outcome.failed && outcome.first_value == std::to_string(server.start_time_ms)) {
+        if (outcome.answered && !outcome.failed &&
+            outcome.first_value == std::to_string(server.start_time_ms)) {
             done(connect_result::connected);
             return;
         }
-        log_event(severity::warning, "server_of_another_start",
-                  {{"server", server.id.value}, {"started", server.start_time_ms}, {"found", outcome.first_value}});
+        log_event(
+            severity::warning, "server_of_another_start",
+            {{"server", server.id.value}, {"started", server.start_time_ms}, {"found", outcome.first_value}});
         connection->close();
         done(connect_result::failed);
     };
--- a/tests/balance_test.cpp
+++ b/tests/balance_test.cpp
@@ -2,7 +2,7 @@
 //
 // Index
 //   [model]  [uneven servers]  [failing servers]  [idle servers]  [loads]  [forwarding peers]
-#include "core/lenders.hpp"
+#include "core/forwarding_peers.hpp"
 #include "core/routing.hpp"
 
 #include <gtest/gtest.h>
@@ -63,7 +63,8 @@
 public:
     simulated_group(std::vector<behavior_at> replicas, double reads_a_second, duration age)
         : rate_(reads_a_second), load_age_(age), caches_(router_count) {
-        view_.record = {.id = {"g"}, .term = 1, .primary = {"p"}, .timeline = 1, .term_starts = {{.term = 1}}};
+        view_.record = {
+            .id = {"g"}, .term = 1, .primary = {"p"}, .timeline = 1, .term_starts = {{.term = 1}}};
         view_.positions = &positions_;
         view_.servers_enforce_floor = true;
         session_.group = {"g"};
@@ -282,30 +283,25 @@
     g.set_load("a", {.response_time = milliseconds{20}});
     g.set_load("b", {.response_time = milliseconds{20}}, milliseconds{6});
     EXPECT_EQ(g.share("a"), 1.0) << "no read leaves its failure domain without need";
-    g.set_load("a", {.running = 4,
-                     .waiting = 12,
-                     .response_time = milliseconds{20},
-                     .queue_delay = milliseconds{60}});
+    g.set_load(
+        "a",
+        {.running = 4, .waiting = 12, .response_time = milliseconds{20}, .queue_delay = milliseconds{60}});
     EXPECT_GT(g.share("b"), 0.75);
 }
 
 TEST(uneven_servers, primary_gets_reads_only_if_clearly_faster_and_without_queue) {
     routed_group g;
-    g.set_load("a", {.running = 4,
-                     .waiting = 20,
-                     .response_time = milliseconds{20},
-                     .queue_delay = milliseconds{100}});
-    g.set_load("b", {.running = 4,
-                     .waiting = 20,
-                     .response_time = milliseconds{20},
-                     .queue_delay = milliseconds{100}});
+    g.set_load(
+        "a",
+        {.running = 4, .waiting = 20, .response_time = milliseconds{20}, .queue_delay = milliseconds{100}});
+    g.set_load(
+        "b",
+        {.running = 4, .waiting = 20, .response_time = milliseconds{20}, .queue_delay = milliseconds{100}});
     g.set_load("p", {.running = 1, .response_time = milliseconds{20}});
     EXPECT_GT(g.share("p"), 0.3);
     EXPECT_LT(g.share("p"), 0.6) << "all instances see the primary idle";
-    g.set_load("p", {.running = 4,
-                     .waiting = 1,
-                     .response_time = milliseconds{20},
-                     .queue_delay = milliseconds{5}});
+    g.set_load(
+        "p", {.running = 4, .waiting = 1, .response_time = milliseconds{20}, .queue_delay = milliseconds{5}});
     EXPECT_EQ(g.share("p"), 0.0);
     g.set_load("p", {.running = 1, .response_time = milliseconds{80}});
     EXPECT_EQ(g.share("p"), 0.0) << "not clearly faster";
@@ -368,10 +364,9 @@
     routed_group g;
     g.set_load("a", {.response_time = milliseconds{20}, .failure_ratio = 0.9});
     g.set_load("b", {.response_time = milliseconds{20}, .failure_ratio = 0.3});
-    g.set_load("p", {.running = 4,
-                     .waiting = 3,
-                     .response_time = milliseconds{20},
-                     .queue_delay = milliseconds{15}});
+    g.set_load(
+        "p",
+        {.running = 4, .waiting = 3, .response_time = milliseconds{20}, .queue_delay = milliseconds{15}});
     EXPECT_GT(g.share("b"), 0.7);
     EXPECT_EQ(g.share("p"), 0.0);
 }
@@ -381,10 +376,9 @@
     routed_group g;
     g.set_load("a", {.response_time = milliseconds{20}, .failure_ratio = 1});
     g.set_load("b", {.response_time = milliseconds{20}, .failure_ratio = 1});
-    g.set_load("p", {.running = 4,
-                     .waiting = 3,
-                     .response_time = milliseconds{20},
-                     .queue_delay = milliseconds{15}});
+    g.set_load(
+        "p",
+        {.running = 4, .waiting = 3, .response_time = milliseconds{20}, .queue_delay = milliseconds{15}});
     EXPECT_GT(g.share("p"), 0.9);
     EXPECT_LT(g.share("p"), 1.0) << "trial reads detect a recovery";
 }
@@ -486,10 +480,9 @@
     for (int seed = 1; seed <= 40; ++seed) {
         routed_group g;
         g.random.seed(static_cast<std::uint64_t>(seed));
-        g.set_load("p", {.running = 4,
-                         .waiting = 4,
-                         .response_time = milliseconds{20},
-                         .queue_delay = milliseconds{20}});
+        g.set_load(
+            "p",
+            {.running = 4, .waiting = 4, .response_time = milliseconds{20}, .queue_delay = milliseconds{20}});
         add_primary_sample(g.positions, 1,
                            {.not_before = start + milliseconds{1}, .timeline = 1, .position = 20});
         g.session.written = session_token{.group = {"g"}, .term = 1, .position = 20};
--- a/tests/cluster_model.cpp
+++ b/tests/cluster_model.cpp
@@ -604,7 +604,8 @@
         }
         return;
     }
-    const bool leave_time_has_ended = server->leave_acked_at && now_ > *server->leave_acked_at + leave_time * 2;
+    const bool leave_time_has_ended =
+        server->leave_acked_at && now_ > *server->leave_acked_at + leave_time * 2;
     if (leave_time_has_ended && !server->is_primary && is_running(*server)) {
         server->leaving = false;
         server->leave_acked_at.reset();
--- a/tests/cluster_model.hpp
+++ b/tests/cluster_model.hpp
@@ -7,7 +7,7 @@
 
 #include "core/control_core.hpp"
 #include "core/lease.hpp"
-#include "core/leave_times.hpp"
+#include "core/leave_deadlines.hpp"
 
 #include <functional>
 #include <map>
--- a/tests/control_test.cpp
+++ b/tests/control_test.cpp
@@ -922,7 +922,9 @@
             p.acked_round_sent_at = now;
         }
     }
-    void silence(raft::node_id id, duration time) { core.consensus.peers[id].acked_round_sent_at = now - time; }
+    void silence(raft::node_id id, duration time) {
+        core.consensus.peers[id].acked_round_sent_at = now - time;
+    }
     // Lets the leader change its members once, and commits the change immediately.
     void run() {
         tick(core, now, random);
--- a/tests/core_test.cpp
+++ b/tests/core_test.cpp
@@ -5,7 +5,7 @@
 #include "core/cluster_state.hpp"
 #include "core/health.hpp"
 #include "core/lease.hpp"
-#include "core/leave_times.hpp"
+#include "core/leave_deadlines.hpp"
 #include "core/pool.hpp"
 #include "core/rendezvous.hpp"
 #include "core/session.hpp"
@@ -55,7 +55,8 @@
 
 TEST(table, group_change_of_an_old_term_is_refused) {
     cluster_state s;
-    const group_record first{.id = {"g"}, .term = 1, .primary = {"a"}, .timeline = 1, .term_starts = {{1, 0}}};
+    const group_record first{
+        .id = {"g"}, .term = 1, .primary = {"a"}, .timeline = 1, .term_starts = {{1, 0}}};
     apply(s, 1, set_group{.expected_term = 0, .next = first});
     group_record second = first;
     second.term = 2;
@@ -222,7 +223,8 @@
             waiting.begin(), waiting.end(), [](const auto& r) { return r.klass <= request_class::critical; });
         const bool serves = p_.idle.empty() || !critical_waits || !may_send(p_.limit, running);
         RC_ASSERT(serves); // no critical request waits while it could use an idle connection
-        RC_ASSERT(std::includes(p_.busy.begin(), p_.busy.end(), p_.idle_in_transaction.begin(), p_.idle_in_transaction.end()));
+        RC_ASSERT(std::includes(p_.busy.begin(), p_.busy.end(), p_.idle_in_transaction.begin(),
+                                p_.idle_in_transaction.end()));
         // Requests are ordered by class and deadline, except that one long-waiting request may be first.
         auto order = order_requests(p_.queue, now_);
         const auto waits_long = [&](const queued_request& r) {
@@ -424,7 +426,8 @@
     pool_actions actions;
     const time_point now{std::chrono::seconds{1}};
     set_share(p, 1, now, next, actions);
-    p.limit.response_times.fill({.smoothed = std::chrono::milliseconds{100}, .baseline = std::chrono::milliseconds{100}});
+    p.limit.response_times.fill(
+        {.smoothed = std::chrono::milliseconds{100}, .baseline = std::chrono::milliseconds{100}});
     const auto ask = [&](request_number id, request_class klass) {
         actions.clear();
         request_connection(p,
@@ -542,7 +545,8 @@
     const time_point start = std::chrono::seconds{100};
     record_answered_renewal(t, 4, start);
     record_answered_renewal(t, 4, start + std::chrono::seconds{1});
-    record_answered_renewal(t, 6, start + std::chrono::seconds{2}); // control had committed revision 5 by then
+    record_answered_renewal(t, 6,
+                            start + std::chrono::seconds{2}); // control had committed revision 5 by then
     EXPECT_EQ(update_leaving_servers(t, state_with_server(true), 5), std::vector<server_id>{{"s1"}});
     EXPECT_TRUE(update_leaving_servers(t, state_with_server(true), 7).empty())
         << "each leaving server is returned once";
@@ -554,7 +558,8 @@
 
 TEST(leave_times, are_over_if_the_start_is_unknown) {
     leave_deadlines t;
-    update_leaving_servers(t, state_with_server(true), 1); // the instance has just started, without any renewal
+    update_leaving_servers(t, state_with_server(true),
+                           1); // the instance has just started, without any renewal
     EXPECT_TRUE(leave_time_has_expired(t, {"s1"}, leave_time, std::chrono::seconds{1}));
     update_leaving_servers(t, state_with_server(false), 2);
     EXPECT_FALSE(leave_time_has_expired(t, {"s1"}, leave_time, std::chrono::seconds{1}))
@@ -599,7 +604,8 @@
         const auto first_new = by_whole_state ? *rc::gen::inRange<revision_number>(1, committed_revision + 1)
                                               : committed_revision;
         update_leaving_servers(t, state_with_server(true), first_new);
-        RC_ASSERT(leave_time_has_expired(t, {"s1"}, leave_time, committed_at + leave_time - leave_safety_margin));
+        RC_ASSERT(
+            leave_time_has_expired(t, {"s1"}, leave_time, committed_at + leave_time - leave_safety_margin));
     }));
 }
 
--- a/tests/cut_off_test.cpp
+++ b/tests/cut_off_test.cpp
@@ -3,8 +3,8 @@
 // Index
 //   [a site]  [who is lost]  [on the wire]  [lenders]
 #include "core/control.hpp"
+#include "core/forwarding_peers.hpp"
 #include "core/lease.hpp"
-#include "core/lenders.hpp"
 #include "core/rendezvous.hpp"
 #include "generated/larchpin.pb.h"
 #include "io/codec.hpp"
@@ -295,7 +295,8 @@
     s.instances[{"a"}].id = {"a"};
     s.instances_revision = 4;
     lost_instance_set known;
-    EXPECT_FALSE(apply_lost_instances_update(known, {.version = 9, .instances_revision = 5, .bits = "\1"}, s));
+    EXPECT_FALSE(
+        apply_lost_instances_update(known, {.version = 9, .instances_revision = 5, .bits = "\1"}, s));
     EXPECT_EQ(known.version, 0U) << "so that they come again";
     EXPECT_TRUE(apply_lost_instances_update(known, {.version = 9, .instances_revision = 4, .bits = "\1"}, s));
     EXPECT_TRUE(known.instances.contains({"a"}));
--- a/tests/lenders_test.cpp
+++ b/tests/forwarding_peers_test.cpp
@@ -1,5 +1,5 @@
 // Selection of forwarding peers by an instance without a connection to the backend server.
-#include "core/lenders.hpp"
+#include "core/forwarding_peers.hpp"
 
 #include <gtest/gtest.h>
 
@@ -13,13 +13,15 @@
 
 const server_id server{"s1"};
 const std::vector<forwarding_peer> candidates{{"a1", false}, {"a2", false}, {"b1", true}, {"b2", true},
-                                     {"c1", true},  {"c2", true},  {"c3", true}};
+                                              {"c1", true},  {"c2", true},  {"c3", true}};
 
 struct peer_selection {
     forwarding_peer_tracker tracker;
     std::mt19937_64 random{1};
     time_point now{std::chrono::seconds{10}};
-    std::vector<std::string> order() { return order_forwarding_peers(tracker, server, candidates, now, random); }
+    std::vector<std::string> order() {
+        return order_forwarding_peers(tracker, server, candidates, now, random);
+    }
 };
 
 TEST(forwarding_peers, local_peers_come_first_and_silent_ones_last) {
@@ -97,11 +99,12 @@
     forwarding_peer_tracker b;
     std::mt19937_64 random(1);
     const std::vector<forwarding_peer> homes{{.address = "a", .rank = 7},
-                                    {.address = "b", .rank = 3},
-                                    {.address = "c", .in_other_domain = true, .rank = 1}};
+                                             {.address = "b", .rank = 3},
+                                             {.address = "c", .in_other_domain = true, .rank = 1}};
     const time_point at{std::chrono::seconds{10}};
     for (int i = 0; i < 20; ++i) {
-        EXPECT_EQ(order_forwarding_peers(b, {"s"}, homes, at, random), (std::vector<std::string>{"b", "a", "c"}));
+        EXPECT_EQ(order_forwarding_peers(b, {"s"}, homes, at, random),
+                  (std::vector<std::string>{"b", "a", "c"}));
     }
     mark_silent(b, "b", at);
     EXPECT_EQ(order_forwarding_peers(b, {"s"}, homes, at, random).front(), "a");
--- a/tests/ordering_test.cpp
+++ b/tests/ordering_test.cpp
@@ -296,7 +296,7 @@
         }
     }
     request_number submit(request_class klass, duration length, const std::string& workspace = "",
-                       transaction t = {}) {
+                          transaction t = {}) {
         const request_number r = next_request++;
         lengths[r] = length;
         if (t.statements_left > 0) {
@@ -391,7 +391,8 @@
 // A transaction that waited behind new work would hold its locks for that time.
 TEST(permits, open_transaction_does_not_wait_for_one) {
     simulated_pool s(slots + 1);
-    s.submit(request_class::background, milliseconds{8}, "", {.statements_left = 3, .pause = milliseconds{5}});
+    s.submit(request_class::background, milliseconds{8}, "",
+             {.statements_left = 3, .pause = milliseconds{5}});
     s.run(milliseconds{21});
     ASSERT_EQ(s.open.size(), 1U);
     const connection_number c = s.open.begin()->first;
@@ -575,7 +576,7 @@
                     s.submit(request_class::normal, milliseconds{12 + number(18)}, workspace);
                 } else {
                     s.submit(request_class::normal, milliseconds{8}, workspace,
-                          {.statements_left = 2, .pause = milliseconds{30}});
+                             {.statements_left = 2, .pause = milliseconds{30}});
                 }
             }
             const std::size_t used_before = s.used.size();
--- a/tests/scale_test.cpp
+++ b/tests/scale_test.cpp
@@ -7,7 +7,7 @@
 // Index
 //   [a large site]  [tests]
 #include "core/control_core.hpp"
-#include "core/control_talk.hpp"
+#include "core/control_pacing.hpp"
 #include "core/lease.hpp"
 #include "daemon/watch_replies.hpp"
 #include "generated/larchpin.pb.h"
--- a/tests/session_fuzz_test.cpp
+++ b/tests/session_fuzz_test.cpp
@@ -51,8 +51,11 @@
         for (std::size_t i = 0; i < server_count; ++i) {
             servers_.push_back({.id = {"s" + std::to_string(i)}, .position = 100, .timeline = 1});
         }
-        view_.record = {
-            .id = {"g"}, .term = 1, .primary = {"s0"}, .timeline = 1, .term_starts = {{.term = 1, .position = 0}}};
+        view_.record = {.id = {"g"},
+                        .term = 1,
+                        .primary = {"s0"},
+                        .timeline = 1,
+                        .term_starts = {{.term = 1, .position = 0}}};
         view_.positions = &positions_;
         for (int i = 0; i < 6; ++i) {
             sessions_.push_back(make_session());
