--- a/src/core/cluster_state.hpp
+++ b/src/core/cluster_state.hpp
@@ -33,7 +33,7 @@
     auto operator<=>(const service_entry&) const = default;
 };
 
-// A tenant with its rate limit over all daemons.
+// A workspace (one customer) and its rate limit over all daemons.
 struct workspace_entry {
     workspace_id id;
     unsigned priority = 2; // 0 = highest
--- a/src/core/control.hpp
+++ b/src/core/control.hpp
@@ -3,8 +3,8 @@
 // predecessors has expired (knows_all_leases()); state that must survive goes through the log as a command.
 //
 // Failover of a group
-//   idle -> fencing   a majority of the server's observers report the primary dead: command
-//   set_group(fencing)
+//   idle -> fencing   a majority of the server's observers report the primary dead:
+//                     command set_group(fencing)
 //   -> revoking       committed; wait until every daemon has confirmed it or its lease has expired
 //   -> probing        query every replica for its position; wait for all answers, or probe_timeout
 //   -> promoting      promote the replica with the highest position; on failure go back to probing
@@ -12,14 +12,13 @@
 // A new leader that finds a group in phase fencing resumes at `revoking`.
 //
 // Planned switchover, requested by an operator or by a leaving primary: loses no acknowledged write
-//   idle -> catching_up  writes continue until a successor holds what the primary held at the start. This
-//   bounds
-//                        the time that fenced writes wait to about the time of catching up, and sets no fence
-//                        without a successor.
-//   -> fencing .. probing as above; positions are queried until a successor holds all of the fenced primary's
-//   log
-//   -> promoting         that successor; or the old primary again, if no successor catches up within the
-//   bound
+//   idle -> catching_up    writes continue until a successor holds what the primary held at the start.
+//                          This bounds the time that fenced writes wait to about the time of catching up,
+//                          and sets no fence without a successor.
+//   -> fencing .. probing  as above; positions are queried until a successor holds all of the fenced
+//                          primary's log
+//   -> promoting           that successor; or the old primary again, if no successor catches up within
+//                          the bound
 // A primary that dies during a switchover turns it into a failover.
 //
 // Index
@@ -204,7 +203,7 @@
     revision_number fence_revision = 0; // must be confirmed by every daemon
     std::set<std::uint64_t> pending_operations;
     std::map<server_id, server_answer> answers;
-    std::set<server_id> failed_candidates; // candidates that failed to be promoted
+    std::set<server_id> failed_candidates; // candidates that did not confirm a promotion
     std::optional<server_id> candidate;
     std::uint64_t promotion_timeline = 0;      // timeline on which the candidate was seen
     std::optional<server_id> requested_target; // of an operator's switchover
--- a/src/core/control_core.hpp
+++ b/src/core/control_core.hpp
@@ -50,8 +50,8 @@
     std::size_t recent_bytes = 0;           // total size of the commands in recent_entries
     revision_number urgent_revision = 0;    // newest revision that daemons must be notified of at once
     std::size_t snapshot_entries = 4096;    // log length at which a snapshot replaces it
-    std::size_t target_voters =
-        0; // other members stay learners and replace silent voters; 0 = all keep a vote
+    // Other members stay learners and replace silent voters; 0 = all keep a vote.
+    std::size_t target_voters = 0;
     raft::member self;
     control_output out;
 };
--- a/src/core/failover.cpp
+++ b/src/core/failover.cpp
@@ -121,7 +121,7 @@
 }
 
 // Returns true if writes have been fenced for the time that the catch-up before the fence took, which is
-// about the replication lag, plus switchover_wait.
+// about the replication lag, plus switchover_timeout.
 bool has_catch_up_timed_out(const control_state& c, const failover& f, time_point now) {
     const duration catch_up_time = f.fence_proposed_at - f.started_at;
     return now - f.fence_proposed_at >= catch_up_time + c.config.switchover_timeout;
--- a/src/core/failover.hpp
+++ b/src/core/failover.hpp
@@ -9,7 +9,8 @@
 // [detection]
 //-----------------------------------------------------------------------------
 
-// Returns true if the daemon's last renewal is at most observation_age old, so that its observations count.
+// Returns true if the daemon's last renewal is at most max_observation_age old, so that its observations
+// count.
 bool has_recent_observations(const control_state& c, const daemon_state& d, time_point now);
 
 // Returns true if a majority of the server's observers report it dead. A majority is required so that neither
@@ -22,8 +23,9 @@
 // Returns true if the server's committed announcement or the operators' settings mark it as leaving.
 bool is_leaving(const cluster_state& s, const server_id& server);
 
-// Returns true if the primary is leaving, another server of the group can take over and switchover_pause has
-// passed since the last attempt. Emits one event when no successor is available.
+// Returns true if the primary is leaving, another server of the group can take over and
+// switchover_retry_interval has passed since the last attempt. Emits one event when no successor is
+// available.
 bool should_replace_leaving_primary(control_state& c, const cluster_state& s, const group_record& group,
                                     time_point now, control_actions& actions);
 
--- a/src/core/forwarding_peers.hpp
+++ b/src/core/forwarding_peers.hpp
@@ -31,14 +31,16 @@
 
 // Recent state of the forwarding peers, by address.
 struct forwarding_peer_tracker {
-    std::map<std::string, time_point> silent_until; // peers that did not answer
-    std::map<std::pair<server_id, std::string>, time_point>
-        no_connection_until; // peers without a connection to the server
-    std::map<server_id, std::string>
-        last_forwarding_peer; // last successful peer, while connections are scarce
-    std::map<std::string, reachability> reachability_by_address; // peers that requests were sent to
-    std::map<std::string, duration>
-        round_trip_delays; // smoothed; excludes the processing time that the peer reports
+    // Peers that did not answer.
+    std::map<std::string, time_point> silent_until;
+    // Peers without a connection to the server.
+    std::map<std::pair<server_id, std::string>, time_point> no_connection_until;
+    // The last successful peer, while connections are scarce.
+    std::map<server_id, std::string> last_forwarding_peer;
+    // Peers that requests were sent to.
+    std::map<std::string, reachability> reachability_by_address;
+    // Smoothed delays; they exclude the processing time that the peer reports.
+    std::map<std::string, duration> round_trip_delays;
 };
 
 // Records that a request is sent to a peer.
--- a/src/core/raft.cpp
+++ b/src/core/raft.cpp
@@ -329,8 +329,7 @@
 }
 
 // Returns whether this node rejects elections, in any term, because it holds the leader lease or has recent
-// contact with a leader.
-// The leader's lease depends on this rule.
+// contact with a leader. The leader's lease depends on this rule.
 bool refuses_elections(const state& s, time_point now) {
     return s.current_role == role::leader ? leader_has_lease(s, now) : has_recent_leader_contact(s, now);
 }
--- a/src/core/server_load.cpp
+++ b/src/core/server_load.cpp
@@ -14,8 +14,8 @@
 constexpr duration failure_half_life = std::chrono::seconds{2};
 // A server that was slow is tried again after about the delay of a client's retry.
 constexpr duration response_time_half_life = std::chrono::milliseconds{500};
-constexpr duration failure_cost =
-    std::chrono::milliseconds{500}; // retry delay that a refused client is given
+// Retry delay that a refused client is given.
+constexpr duration failure_cost = std::chrono::milliseconds{500};
 constexpr duration lowest_response_time = std::chrono::milliseconds{1};
 constexpr double significant_ratio = 0.25; // relative change of a count or a time
 constexpr unsigned significant_count = 2;
--- a/src/daemon/server_loads.cpp
+++ b/src/daemon/server_loads.cpp
@@ -20,7 +20,7 @@
 
 // A queue of usual length changes within some ten milliseconds; asked more often it is told no better.
 constexpr duration exchange_interval = std::chrono::milliseconds{50};
-// Twice before a word is forgotten (load_memory).
+// Twice before a word is forgotten (max_load_age).
 constexpr duration longest_exchange_pause = std::chrono::milliseconds{200};
 constexpr duration exchange_timeout = std::chrono::milliseconds{250}; // later it would be of no use
 constexpr duration recently = std::chrono::milliseconds{500};
--- a/tests/core_test.cpp
+++ b/tests/core_test.cpp
@@ -545,8 +545,8 @@
     const time_point start = std::chrono::seconds{100};
     record_answered_renewal(t, 4, start);
     record_answered_renewal(t, 4, start + std::chrono::seconds{1});
-    record_answered_renewal(t, 6,
-                            start + std::chrono::seconds{2}); // control had committed revision 5 by then
+    // Control had committed revision 5 by then.
+    record_answered_renewal(t, 6, start + std::chrono::seconds{2});
     EXPECT_EQ(update_leaving_servers(t, state_with_server(true), 5), std::vector<server_id>{{"s1"}});
     EXPECT_TRUE(update_leaving_servers(t, state_with_server(true), 7).empty())
         << "each leaving server is returned once";
@@ -558,8 +558,8 @@
 
 TEST(leave_times, are_over_if_the_start_is_unknown) {
     leave_deadlines t;
-    update_leaving_servers(t, state_with_server(true),
-                           1); // the instance has just started, without any renewal
+    // The instance has just started, without any renewal.
+    update_leaving_servers(t, state_with_server(true), 1);
     EXPECT_TRUE(leave_time_has_expired(t, {"s1"}, leave_time, std::chrono::seconds{1}));
     update_leaving_servers(t, state_with_server(false), 2);
     EXPECT_FALSE(leave_time_has_expired(t, {"s1"}, leave_time, std::chrono::seconds{1}))
--- a/tests/ordering_test.cpp
+++ b/tests/ordering_test.cpp
@@ -431,8 +431,8 @@
         s.submit(request_class::normal, milliseconds{10}, "large");
     }
     s.run(milliseconds{60});
-    const auto turn =
-        waiting_count(s.p) * 10 / slots; // ms until the requests ahead have run, in the order of arrival
+    // Milliseconds until the requests ahead have run, in the order of arrival.
+    const auto turn = waiting_count(s.p) * 10 / slots;
     const request_number small = s.submit(request_class::normal, milliseconds{10}, "small");
     unsigned passed = 0;
     while (std::find(s.used.begin(), s.used.end(), small) == s.used.end() && passed < 200) {
